--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -230,7 +230,7 @@
         "FAILBACK",
         "a coordinator that may have been replaced gives out no numbers",
         f"{GATEWAY}/coordination/hub.py",
-        "return self._numbering.count if self.is_store_away() else 0",
+        "return self._numbering.count if self.is_store_unavailable() else 0",
         "return self._numbering.count",
         f"{GATEWAY}/known/tests/test_cold.py -k numbers_lapse_at",
     ),
--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -145,7 +145,7 @@
         "LIMIT",
         "nodes tell each other limits",
         f"{GATEWAY}/coordination/hub.py",
-        "self._knowledge.take_limits(report.limits)",
+        "self._knowledge.merge_limits(report.limits)",
         "pass",
         f"{LIMITS} -k no_such_answer",
     ),
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -20,7 +20,7 @@
 from mulleinreach.gateway.coordination.election import election_delay_s
 from mulleinreach.gateway.coordination.follower import EndReason, Follower
 from mulleinreach.gateway.coordination.frames import PeerError
-from mulleinreach.gateway.coordination.hub import HeardNode, MemberHub
+from mulleinreach.gateway.coordination.hub import MemberHub, RecentNode
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, LeaseState, Resignation
 from mulleinreach.gateway.coordination.own_report import OwnReports
 from mulleinreach.gateway.coordination.passed_on import Knowledge
@@ -109,9 +109,9 @@
         """Return the latest report of each node, our own first."""
         return self._hub.node_reports()
 
-    def heard_nodes(self) -> list[HeardNode]:
+    def recent_nodes(self) -> list[RecentNode]:
         """Return the nodes that were heard lately, our own first."""
-        return self._hub.heard_nodes()
+        return self._hub.recent_nodes()
 
     async def run(self) -> None:
         """Take part for ever."""
@@ -136,7 +136,7 @@
         """Read the lease's row, and what its holder left there for nodes that start."""
         state = await self._lease.look()
         if self._lease.record is not None:
-            self._knowledge.take_inheritance(self._lease.record.inheritance)
+            self._knowledge.apply_inheritance(self._lease.record.inheritance)
         return state
 
     async def _follow(self, address: Address) -> None:
