--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -222,7 +222,7 @@
         "FAILBACK",
         "numbers change once the earlier ones count no more",
         f"{GATEWAY}/coordination/numbering.py",
-        "if is_same or now - self._changed_at < STEADY_S:",
+        "if is_same or now - self._changed_at < RENUMBERING_INTERVAL_S:",
         "if is_same:",
         f"{GATEWAY}/known/tests/test_cold.py -k come_and_go",
     ),
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -40,7 +40,7 @@
 MAX_BUFFERED_BYTES = 262_144
 # A node that can read the store has by then noticed that its evidence is old (1.5 s),
 # has read and asked for the lease (0.3 s), and has left a coordinator that resigned.
-REPLACED_BY_S = 2.0
+REPLACEMENT_DEADLINE_S = 2.0
 # A hall that fails is found within some seconds of its nodes' last reports. Nodes that were
 # taken away should not count for longer.
 RECENT_NODE_TTL_S = 5.0
@@ -144,7 +144,7 @@
         """
         if self._resignation is None or self._has_deserters or not self._members:
             return False
-        return self._clock.now() - self._resigned_at > REPLACED_BY_S
+        return self._clock.now() - self._resigned_at > REPLACEMENT_DEADLINE_S
 
     async def listen(self) -> None:
         """Listen for other nodes; they are heard while the hub is open."""
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -27,7 +27,7 @@
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.coordination.succession import tell_replaced
+from mulleinreach.gateway.coordination.succession import notify_replaced
 from mulleinreach.gateway.coordination.term import CoordinatorTerm
 from mulleinreach.gateway.deployment import GatewayIdentity
 from mulleinreach.gateway.known.load import LoadBook
@@ -188,7 +188,7 @@
             return
         own = self._lease.as_successor()
         telling = asyncio.create_task(
-            tell_replaced(replaced, own, self._identity.name, self._network, self._log)
+            notify_replaced(replaced, own, self._identity.name, self._network, self._log)
         )
         try:
             await self._coordinate()
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("turned_away", [1, 2])
 def test_replaced_coordinator_does_not_take_its_own_cut_for_an_outage(turned_away, monkeypatch):
     """Not even if it never hears who is in its place."""
-    monkeypatch.setattr(membership, "tell_replaced", _tell_nobody)
+    monkeypatch.setattr(membership, "notify_replaced", _tell_nobody)
 
     async def test(world):
         await asyncio.sleep(2)
