--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -6,8 +6,8 @@
     Configuration,
     EngineModel,
     EngineProfile,
-    Limits,
     Organisation,
+    RequestLimits,
     Route,
     RouteKind,
     Service,
@@ -93,9 +93,9 @@
     )
 
 
-def _parse_limits(raw: dict) -> Limits:
-    usual = Limits()
-    return Limits(
+def _parse_limits(raw: dict) -> RequestLimits:
+    usual = RequestLimits()
+    return RequestLimits(
         header_bytes=int(raw.get("max_header_bytes", usual.header_bytes)),
         body_bytes=int(raw.get("max_body_bytes", usual.body_bytes)),
         header_timeout_s=float(raw.get("header_timeout_ms", usual.header_timeout_s * 1000)) / 1000,
