--- a/mulleinreach/gateway/coordination/follower.py
+++ b/mulleinreach/gateway/coordination/follower.py
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.coordination.frames import FrameReader, FrameWriter, PeerError
 from mulleinreach.gateway.coordination.hub import (
     MAX_BUFFERED_BYTES,
-    SILENCE_S,
+    REPORT_TIMEOUT_S,
     report_interval_s,
 )
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, Resignation
@@ -98,7 +98,7 @@
         """Take the coordinator's reports until it falls silent, resigns or is replaced."""
         try:
             while True:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(REPORT_TIMEOUT_S):
                     report = decode_coordinator_report(await frames.read())
                 self.is_following = True
                 self.node_count = report.totals.nodes
--- a/mulleinreach/gateway/coordination/totals.py
+++ b/mulleinreach/gateway/coordination/totals.py
@@ -9,10 +9,10 @@
 
 # One report in so many names open heads and held requests even if they are as they were told last:
 # a node that has just come has missed that.
-REPEAT_EVERY = 10
+FULL_TOTALS_INTERVAL_ROUNDS = 10
 
 
-class TellOnChange:
+class SendOnChange:
     """Decides when a value is told: when it has changed, and now and then all the same.
 
     Parameters
@@ -32,20 +32,20 @@
         return True
 
 
-class TotalsShortener:
+class TotalsCompactor:
     """Leaves out of totals what all nodes know already, or have no use for."""
 
     def __init__(self) -> None:
         self._round = 0
         # A coordinator that has just begun knows of no heads yet; nodes keep those that they know.
-        self._heads = TellOnChange([])
-        self._held = TellOnChange(set())
-        self._limits = TellOnChange(set())
+        self._heads = SendOnChange([])
+        self._held = SendOnChange(set())
+        self._limits = SendOnChange(set())
 
-    def shorten(self, totals: Totals) -> Totals:
+    def compact(self, totals: Totals) -> Totals:
         """Return the totals to send in the next round."""
         self._round += 1
-        is_repetition = self._round % REPEAT_EVERY == 0
+        is_repetition = self._round % FULL_TOTALS_INTERVAL_ROUNDS == 0
         # The times that remain to what is held change all the while.
         contents = {held.content for held in totals.held or ()}
         limits = {(limit.upstream_id, limit.per_s) for limit in totals.limits or ()}
