--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -86,7 +86,7 @@
 
     async def close(self) -> None:
         """Stop listening and end the connections."""
-        self._lease.give_up()
+        self._lease.relinquish()
         self._hub.stop_listening()
         self._hub.close_connections()
 
@@ -129,12 +129,12 @@
             await asyncio.sleep(RETRY_S)
         elif state is LeaseState.FREE:
             await self._stand_for_election()
-        elif state is LeaseState.OTHERS:
+        elif state is LeaseState.HELD_BY_OTHER:
             await self._follow(Address.parse(self._lease.record.address))
 
     async def _look(self) -> LeaseState:
         """Read the lease's row, and what its holder left there for nodes that start."""
-        state = await self._lease.look()
+        state = await self._lease.read_state()
         if self._lease.record is not None:
             self._knowledge.apply_inheritance(self._lease.record.inheritance)
         return state
@@ -147,7 +147,7 @@
         elif ended.reason is EndReason.RESIGNED:
             await self._stand_after_resignation(ended.resignation)
         elif ended.reason is EndReason.REPLACED:
-            self._seen_state = LeaseState.OTHERS
+            self._seen_state = LeaseState.HELD_BY_OTHER
         else:
             is_new = ended.reason is EndReason.LOST
             await asyncio.sleep(RECONNECT_S if is_new else RETRY_S)
@@ -160,7 +160,7 @@
         await asyncio.sleep(self._election_delay_s())
         # Most nodes find here that another one was first, which spares them a write.
         # A row that its holder has renewed meanwhile must not be taken either.
-        state = await self._lease.look()
+        state = await self._lease.read_state()
         if self._lease.record != record:
             self._seen_state = state
         elif state is not LeaseState.UNKNOWN and await self._lease.acquire():
@@ -198,7 +198,7 @@
     async def _coordinate(self) -> None:
         """Coordinate for one term; after giving way, follow the successor without a look."""
         if await self._term.serve():
-            self._seen_state = LeaseState.OTHERS
+            self._seen_state = LeaseState.HELD_BY_OTHER
 
     def _election_delay_s(self) -> float:
         return election_delay_s(self._identity, self._rng)
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -91,7 +91,7 @@
 
     async def _end(self, reporting: asyncio.Task) -> None:
         self._hub.is_open = False
-        self._lease.give_up()
+        self._lease.relinquish()
         self._log.event("lease_ended", token=self._lease.token)
         reporting.cancel()
         await asyncio.gather(reporting, return_exceptions=True)
@@ -154,7 +154,7 @@
         A node that stops stays the place where the others meet: while nobody can write
         the row, no other one can take its place.
         """
-        self._lease.give_up()
+        self._lease.relinquish()
         self._log.event("lease_lapsed", token=self._lease.token)
         while not reporting.done():
             if self._hub.successor is not None:
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -21,7 +21,7 @@
 LOW_PER_S = 2.0
 NODES = st.integers(0, 5)
 # How long the lease of a coordinator that fell silent still keeps others from it.
-LEASE_S = 1.6
+REMAINING_LEASE_S = 1.6
 
 
 def to_be_used(limit: float) -> float:
@@ -131,7 +131,7 @@
     @rule()
     def coordinator_is_replaced(self):
         """Its lease lapses first; the next one begins to give permits later still."""
-        self.silent_until = self.desk.clock.now() + LEASE_S
+        self.silent_until = self.desk.clock.now() + REMAINING_LEASE_S
         self.desk.allocator = PermitAllocator(self.silent_until)
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 1.0, 5.0]))
