--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -18,7 +18,7 @@
 
 from mulleinreach.common import Address, Clock, EventLog, Network
 from mulleinreach.gateway.coordination.election import election_delay_s
-from mulleinreach.gateway.coordination.follower import EndReason, Follower
+from mulleinreach.gateway.coordination.follower import FollowEndReason, Follower
 from mulleinreach.gateway.coordination.frames import PeerError
 from mulleinreach.gateway.coordination.hub import MemberHub, RecentNode
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, LeaseState, Resignation
@@ -74,7 +74,7 @@
         self._term = CoordinatorTerm(
             lease, self._hub, self._own_reports, knowledge, coordinate, clock, log
         )
-        self._seen_state: LeaseState | None = None
+        self._known_state: LeaseState | None = None
 
     async def listen(self) -> None:
         """Accept connections of other nodes."""
@@ -117,14 +117,14 @@
         """Take part for ever."""
         while True:
             try:
-                await self._take_part_once()
+                await self._run_once()
             except (OSError, PeerError) as error:
                 self._log.event("coordination_failed", why=repr(error))
                 await asyncio.sleep(RETRY_S)
 
-    async def _take_part_once(self) -> None:
-        state = self._seen_state or await self._look()
-        self._seen_state = None
+    async def _run_once(self) -> None:
+        state = self._known_state or await self._read_lease()
+        self._known_state = None
         if state is LeaseState.UNKNOWN:
             await asyncio.sleep(RETRY_S)
         elif state is LeaseState.FREE:
@@ -132,7 +132,7 @@
         elif state is LeaseState.HELD_BY_OTHER:
             await self._follow(Address.parse(self._lease.record.address))
 
-    async def _look(self) -> LeaseState:
+    async def _read_lease(self) -> LeaseState:
         """Read the lease's row, and what its holder left there for nodes that start."""
         state = await self._lease.read_state()
         if self._lease.record is not None:
@@ -142,14 +142,14 @@
     async def _follow(self, address: Address) -> None:
         """Follow a coordinator, and do what its end asks for."""
         ended = await self._follower.follow(address)
-        if ended.reason is EndReason.PROCESS_GONE:
+        if ended.reason is FollowEndReason.PROCESS_GONE:
             await self._stand_for_election()
-        elif ended.reason is EndReason.RESIGNED:
+        elif ended.reason is FollowEndReason.RESIGNED:
             await self._stand_after_resignation(ended.resignation)
-        elif ended.reason is EndReason.REPLACED:
-            self._seen_state = LeaseState.HELD_BY_OTHER
+        elif ended.reason is FollowEndReason.REPLACED:
+            self._known_state = LeaseState.HELD_BY_OTHER
         else:
-            is_new = ended.reason is EndReason.LOST
+            is_new = ended.reason is FollowEndReason.CONNECTION_LOST
             await asyncio.sleep(RECONNECT_S if is_new else RETRY_S)
 
     async def _stand_for_election(self) -> None:
@@ -162,11 +162,11 @@
         # A row that its holder has renewed meanwhile must not be taken either.
         state = await self._lease.read_state()
         if self._lease.record != record:
-            self._seen_state = state
+            self._known_state = state
         elif state is not LeaseState.UNKNOWN and await self._lease.acquire():
             await self._coordinate_after(record)
         else:
-            await self._rest_after_election()
+            await self._back_off_after_election()
 
     async def _stand_after_resignation(self, resignation: Resignation) -> None:
         await asyncio.sleep(self._election_delay_s())
@@ -175,9 +175,9 @@
         if not is_stopping and await self._lease.acquire_after(resignation):
             await self._coordinate_after(replaced)
         else:
-            await self._rest_after_election()
+            await self._back_off_after_election()
 
-    async def _rest_after_election(self) -> None:
+    async def _back_off_after_election(self) -> None:
         """Leave time to the node that was first, or to a store that loses answers."""
         await asyncio.sleep(self._rng.uniform(1, 2) * RETRY_S)
 
@@ -198,7 +198,7 @@
     async def _coordinate(self) -> None:
         """Coordinate for one term; after giving way, follow the successor without a look."""
         if await self._term.serve():
-            self._seen_state = LeaseState.HELD_BY_OTHER
+            self._known_state = LeaseState.HELD_BY_OTHER
 
     def _election_delay_s(self) -> float:
         return election_delay_s(self._identity, self._rng)
--- a/mulleinreach/gateway/coordination/succession.py
+++ b/mulleinreach/gateway/coordination/succession.py
@@ -16,7 +16,7 @@
 from mulleinreach.gateway.ports import LeaseRecord
 
 # Nodes are some milliseconds apart; one that doesn't answer by then is cut off or frozen.
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 
 
 async def notify_replaced(
@@ -32,7 +32,7 @@
     node : the name of the node that tells it.
     """
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await network.connect(Address.parse(replaced.address))
         report = NodeReport(node, [], secret=replaced.secret, successor=successor)
         FrameWriter(writer).write(encode_node_report(report))
