--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -57,7 +57,7 @@
     while desk.clock.now() < began_at + 60:
         for _ in range(3):
             if rng.random() < limit * ROUND_S:
-                desk.ask_and_wait(rng.randrange(nodes))
+                desk.send_or_wait(rng.randrange(nodes))
         desk.allocate(set(range(nodes)))
         desk.clock.at += ROUND_S
     assert_kept(desk.sent_at, limit)
@@ -126,7 +126,7 @@
 
     @rule(number=NODES)
     def node_starts_again(self, number):
-        self.desk.start_again(number)
+        self.desk.restart_node(number)
 
     @rule()
     def coordinator_is_replaced(self):
