--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -54,7 +54,7 @@
         "BUDGET",
         "a new coordinator hears of earlier sightings",
         f"{GATEWAY}/coordination/own_report.py",
-        "includes_old=is_introducing",
+        "includes_old=is_coordinator_new",
         "includes_old=False",
         f"{CRASHING} -k before_their_coordinator",
     ),
