--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -129,8 +129,8 @@
         "LIMIT",
         "what may gather is bounded",
         f"{GATEWAY}/coordination/permit_allocation.py",
-        "min(gathered, max(BURST_PERMITS, BURST_S * per_s))",
-        "gathered",
+        "min(accrued, max(BURST_PERMITS, BURST_S * per_s))",
+        "accrued",
         ALLOCATION,
     ),
     Breakage(
--- a/mulleinreach/gateway/coordination/follower.py
+++ b/mulleinreach/gateway/coordination/follower.py
@@ -102,7 +102,7 @@
                     report = decode_coordinator_report(await frames.read())
                 self.is_following = True
                 self.node_count = report.totals.nodes
-                self._take(report)
+                self._apply(report)
                 if self._is_replaced(report):
                     self._lease.adopt(report.totals.successor)
                     return FollowEnd(FollowEndReason.REPLACED)
@@ -115,11 +115,11 @@
                 else FollowEndReason.UNREACHABLE
             )
 
-    def _take(self, report: CoordinatorReport) -> None:
+    def _apply(self, report: CoordinatorReport) -> None:
         """Take a report; what it tells is no older than what it answers."""
-        answered = self._own_reports.sent(report.echoed_seq)
+        answered = self._own_reports.find_sent(report.echoed_seq)
         if answered is not None:
-            self._knowledge.take(report, answered.at, answered.loads)
+            self._knowledge.take(report, answered.sent_at, answered.loads)
 
     def _is_replaced(self, report: CoordinatorReport) -> bool:
         """Whether the coordinator tells of a later one."""
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -68,7 +68,7 @@
 @dataclass(frozen=True)
 class _ReceivedReport:
     report: NodeReport
-    at: float
+    received_at: float
 
 
 @dataclass(eq=False)
@@ -196,7 +196,7 @@
         return self._numbering.count if self.is_store_unavailable() else 0
 
     def _allocate_permits(self, own_report: NodeReport) -> dict[_Member | None, list[PermitCount]]:
-        """Return the permits that each member gets now; this node's own stand at ``None``."""
+        """Return the permits that each member gets now; this node's own under ``None``."""
         if not (self._lease.is_held() or self.is_store_unavailable()):
             return {}
         wanted: dict[_Member | None, tuple[PermitCount, ...]] = {None: own_report.wanted}
@@ -267,9 +267,9 @@
         """Return the nodes that were heard lately, connected or not, our own first."""
         now = self._clock.now()
         self._received = {
-            n: h for n, h in self._received.items() if now - h.at <= RECENT_NODE_TTL_S
+            n: h for n, h in self._received.items() if now - h.received_at <= RECENT_NODE_TTL_S
         }
-        others = [RecentNode(heard.report, now - heard.at) for heard in self._received.values()]
+        others = [RecentNode(r.report, now - r.received_at) for r in self._received.values()]
         return [RecentNode(self._own_report(), 0.0), *others]
 
     def _record_report(self, report: NodeReport) -> None:
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -154,8 +154,8 @@
     def is_held(self) -> bool:
         """Whether this node may give orders at this moment."""
         now = self._clock.now()
-        is_alone = now >= self._others_may_hold_until
-        return not self.fenced.is_set() and is_alone and now < self._held_until
+        is_sole_holder = now >= self._others_may_hold_until
+        return not self.fenced.is_set() and is_sole_holder and now < self._held_until
 
     def is_fresh(self) -> bool:
         """Whether the latest renewal was done in time, so that the store can be written."""
@@ -166,7 +166,7 @@
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return LeaseState.UNKNOWN
-        self._take(result)
+        self._update_from_read(result)
         if (
             result.record is None
             or self._has_lapsed()
@@ -177,7 +177,7 @@
             return LeaseState.HELD_BY_SELF if self.is_held() else LeaseState.FREE
         return LeaseState.HELD_BY_OTHER
 
-    def _take(self, result: LeaseRead) -> None:
+    def _update_from_read(self, result: LeaseRead) -> None:
         if result.version != self._version or self.record is None:
             self._version = result.version
             self._version_seen_at = self._clock.now()
@@ -187,8 +187,12 @@
 
     def _detect_restore(self, result: LeaseRead) -> None:
         """Wait for leases to lapse whose rows may be lost, if the store was restored."""
-        known, self._era = self._era, result.era
-        is_restored = self._may_have_lost_holder(result) if known is None else known < result.era
+        previous_era, self._era = self._era, result.era
+        is_restored = (
+            self._may_have_lost_holder(result)
+            if previous_era is None
+            else previous_era < result.era
+        )
         if not is_restored or self.is_held():
             return
         self._others_may_hold_until = self._clock.now() + LEASE_DURATION_S * (1 + CLOCK_RATE_MARGIN)
@@ -221,7 +225,7 @@
         if not isinstance(result, LeaseWritten):
             return False
         self.fenced.clear()
-        self._hold(record, result, sent_at)
+        self._record_written(record, result, sent_at)
         self._log.event("lease_acquired", token=record.token)
         return True
 
@@ -230,7 +234,7 @@
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return False
-        self._take(result)
+        self._update_from_read(result)
         record = result.record
         if record is None or Resignation(record.token, record.renewal) != resignation:
             return False
@@ -264,7 +268,7 @@
         if is_changed:
             result = await self._store.write(self._version, record)
         if isinstance(result, LeaseWritten):
-            self._hold(record, result, sent_at)
+            self._record_written(record, result, sent_at)
             return RenewalOutcome.RENEWED_ROWS_CHANGED if is_changed else RenewalOutcome.RENEWED
         if isinstance(result, LeaseConflict):
             return await self._check_for_late_write()
@@ -281,7 +285,7 @@
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return RenewalOutcome.UNKNOWN
-        self._take(result)
+        self._update_from_read(result)
         if result.record is None or result.record.holder != self._holder:
             self._held_until = NEVER
             return RenewalOutcome.LOST
@@ -291,7 +295,7 @@
             return RenewalOutcome.RENEWED_BY_EARLIER_WRITE
         return RenewalOutcome.UNKNOWN
 
-    def _hold(self, record: LeaseRecord, result: LeaseWritten, sent_at: float) -> None:
+    def _record_written(self, record: LeaseRecord, result: LeaseWritten, sent_at: float) -> None:
         self.record = record
         self._highest_token = max(self._highest_token, record.token)
         self._version = result.version
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -149,8 +149,8 @@
         elif ended.reason is FollowEndReason.REPLACED:
             self._known_state = LeaseState.HELD_BY_OTHER
         else:
-            is_new = ended.reason is FollowEndReason.CONNECTION_LOST
-            await asyncio.sleep(RECONNECT_S if is_new else RETRY_S)
+            was_connected = ended.reason is FollowEndReason.CONNECTION_LOST
+            await asyncio.sleep(RECONNECT_S if was_connected else RETRY_S)
 
     async def _stand_for_election(self) -> None:
         if self._own_reports.is_stopping:
@@ -170,10 +170,10 @@
 
     async def _stand_after_resignation(self, resignation: Resignation) -> None:
         await asyncio.sleep(self._election_delay_s())
-        replaced = self._lease.record
+        replaced_record = self._lease.record
         is_stopping = self._own_reports.is_stopping
         if not is_stopping and await self._lease.acquire_after(resignation):
-            await self._coordinate_after(replaced)
+            await self._coordinate_after(replaced_record)
         else:
             await self._back_off_after_election()
 
@@ -181,19 +181,21 @@
         """Leave time to the node that was first, or to a store that loses answers."""
         await asyncio.sleep(self._rng.uniform(1, 2) * RETRY_S)
 
-    async def _coordinate_after(self, replaced: LeaseRecord | None) -> None:
+    async def _coordinate_after(self, replaced_record: LeaseRecord | None) -> None:
         """Coordinate, and tell the holder of an earlier record, if that was another node."""
-        if replaced is None or replaced.address == str(self._identity.peers):
+        if replaced_record is None or replaced_record.address == str(self._identity.peers):
             await self._coordinate()
             return
-        own = self._lease.as_successor()
-        telling = asyncio.create_task(
-            notify_replaced(replaced, own, self._identity.name, self._network, self._log)
+        own_successor = self._lease.as_successor()
+        notification = asyncio.create_task(
+            notify_replaced(
+                replaced_record, own_successor, self._identity.name, self._network, self._log
+            )
         )
         try:
             await self._coordinate()
         finally:
-            telling.cancel()
+            notification.cancel()
 
     async def _coordinate(self) -> None:
         """Coordinate for one term; after giving way, follow the successor without a look."""
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -27,12 +27,12 @@
     Parameters
     ==========
 
-    at : when it was sent.
+    sent_at : when it was sent.
     loads : what it told of the load of upstreams.
     """
 
     seq: int
-    at: float
+    sent_at: float
     loads: list[LoadReport]
 
 
@@ -59,8 +59,8 @@
         self._knowledge = knowledge
         self._clock = clock
         self._seq = 0
-        self._holder = lease.token
-        self._holder_since = float("-inf")
+        self._coordinator_token = lease.token
+        self._coordinator_since = float("-inf")
         self._sent: deque[SentReport] = deque(maxlen=MAX_KEPT_REPORTS)
         # Whether this node is about to end; its reports tell it from then on.
         self.is_stopping = False
@@ -85,9 +85,9 @@
     def _is_coordinator_new(self) -> bool:
         """Whether the coordinator is a new one, which has not heard what this node told before."""
         now = self._clock.now()
-        if self._holder != self._lease.token:
-            self._holder, self._holder_since = self._lease.token, now
-        return now - self._holder_since < FULL_REPORT_PERIOD_S
+        if self._coordinator_token != self._lease.token:
+            self._coordinator_token, self._coordinator_since = self._lease.token, now
+        return now - self._coordinator_since < FULL_REPORT_PERIOD_S
 
     def next(self) -> NodeReport:
         """Return the next report, which is about to be sent."""
@@ -96,6 +96,6 @@
         self._sent.append(SentReport(self._seq, self._clock.now(), report.loads))
         return report
 
-    def sent(self, seq: int) -> SentReport | None:
+    def find_sent(self, seq: int) -> SentReport | None:
         """Return a report that was sent, ``None`` if it is none of the latest ones."""
         return next((report for report in self._sent if report.seq == seq), None)
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -32,7 +32,7 @@
     """
 
     balance: float
-    at: float
+    updated_at: float
     credits: dict[Hashable, float] = field(default_factory=dict)
 
 
@@ -86,23 +86,23 @@
         for node, wants in wanted.items():
             for want in wants:
                 wants_by_upstream[want.upstream_id][node] = want.count
-        given: dict[Node, list[PermitCount]] = defaultdict(list)
+        granted: dict[Node, list[PermitCount]] = defaultdict(list)
         for upstream_id, limit in limits.items():
             if now - self._begun_at < permit_s(limit) + CLOCK_SKEW_MARGIN_S:
                 continue
             per_s = bearable_per_s(limit)
             counts = self._allocate_one(upstream_id, per_s, wants_by_upstream[upstream_id], now)
             for node, count in counts.items():
-                given[node].append(PermitCount(upstream_id, count))
-        return dict(given)
+                granted[node].append(PermitCount(upstream_id, count))
+        return dict(granted)
 
     def _allocate_one(
         self, upstream_id: str, per_s: float, wants: dict[Node, int], now: float
     ) -> dict[Node, int]:
         """Return how many permits for one upstream each node gets."""
         bucket = self._buckets.setdefault(upstream_id, _TokenBucket(1.0, now))
-        gathered = bucket.balance + (now - bucket.at) * per_s
-        bucket.balance, bucket.at = min(gathered, max(BURST_PERMITS, BURST_S * per_s)), now
+        accrued = bucket.balance + (now - bucket.updated_at) * per_s
+        bucket.balance, bucket.updated_at = min(accrued, max(BURST_PERMITS, BURST_S * per_s)), now
         bucket.credits = {n: c for n, c in bucket.credits.items() if n in wants}
         counts: dict[Node, int] = defaultdict(int)
         while bucket.balance >= 1 and wants:
--- a/mulleinreach/gateway/coordination/succession.py
+++ b/mulleinreach/gateway/coordination/succession.py
@@ -20,7 +20,7 @@
 
 
 async def notify_replaced(
-    replaced: LeaseRecord, successor: Successor, node: str, network: Network, log: EventLog
+    replaced_record: LeaseRecord, successor: Successor, node: str, network: Network, log: EventLog
 ) -> None:
     """Tell the holder of an earlier record who is in its place now.
 
@@ -33,10 +33,10 @@
     """
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
-            _, writer = await network.connect(Address.parse(replaced.address))
-        report = NodeReport(node, [], secret=replaced.secret, successor=successor)
+            _, writer = await network.connect(Address.parse(replaced_record.address))
+        report = NodeReport(node, [], secret=replaced_record.secret, successor=successor)
         FrameWriter(writer).write(encode_node_report(report))
         await writer.drain()
         writer.close()
     except (OSError, TimeoutError) as error:
-        log.event("replaced_not_told", address=replaced.address, why=repr(error))
+        log.event("replaced_not_told", address=replaced_record.address, why=repr(error))
--- a/mulleinreach/gateway/coordination/totals.py
+++ b/mulleinreach/gateway/coordination/totals.py
@@ -18,17 +18,17 @@
     Parameters
     ==========
 
-    told : what counts as told at first.
+    last_sent : the initial value, which counts as sent.
     """
 
-    def __init__(self, told: object):
-        self._told = told
+    def __init__(self, last_sent: object):
+        self._last_sent = last_sent
 
-    def is_due(self, value: object, is_repetition: bool) -> bool:
+    def is_due(self, value: object, is_full_round: bool) -> bool:
         """Whether to tell a value now, which then counts as told."""
-        if value == self._told and not is_repetition:
+        if value == self._last_sent and not is_full_round:
             return False
-        self._told = value
+        self._last_sent = value
         return True
 
 
@@ -45,16 +45,16 @@
     def compact(self, totals: Totals) -> Totals:
         """Return the totals to send in the next round."""
         self._round += 1
-        is_repetition = self._round % FULL_TOTALS_INTERVAL_ROUNDS == 0
+        is_full_round = self._round % FULL_TOTALS_INTERVAL_ROUNDS == 0
         # The times that remain to what is held change all the while.
         contents = {held.content for held in totals.held or ()}
         limits = {(limit.upstream_id, limit.per_s) for limit in totals.limits or ()}
         return replace(
             totals,
             loads=[load for load in totals.loads if load.running > 0],
-            heads=totals.heads if self._heads.is_due(totals.heads, is_repetition) else None,
-            held=totals.held if self._held.is_due(contents, is_repetition) else None,
-            limits=totals.limits if self._limits.is_due(limits, is_repetition) else None,
+            heads=totals.heads if self._heads.is_due(totals.heads, is_full_round) else None,
+            held=totals.held if self._held.is_due(contents, is_full_round) else None,
+            limits=totals.limits if self._limits.is_due(limits, is_full_round) else None,
         )
 
 
