--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -20,7 +20,7 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostBook
-from mulleinreach.gateway.knowledge import SharedKnowledge
+from mulleinreach.gateway.knowledge import SharedState
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.known.content import format_digest
@@ -238,7 +238,7 @@
             self.log,
             self.rng,
             self.controller.run,
-            SharedKnowledge(
+            SharedState(
                 self.in_force,
                 self.follower,
                 self.directory,
--- a/mulleinreach/standins/gateway/world.py
+++ b/mulleinreach/standins/gateway/world.py
@@ -58,7 +58,7 @@
     read_tokens_per_s=46_000.0,
     stride=5,
     loads_per_s=4.0,
-    loads_at_once=6,
+    max_concurrent_loads=6,
 )
 
 
