--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -9,8 +9,8 @@
 import sys
 from collections.abc import Callable
 
-from mulleinreach.gateway.known.crashes import HOLD_S, CrashBook, Sighting
-from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, BookDesk
+from mulleinreach.gateway.known.crashes import HOLD_S, CrashTracker, RunObservation
+from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, TrackerHarness
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 
 REQUESTS_EACH = 17
@@ -43,11 +43,11 @@
     return count
 
 
-def sightings_of(upstreams: int) -> list[Sighting]:
+def sightings_of(upstreams: int) -> list[RunObservation]:
     """Return what a node tells when upstreams of two halls end under many requests each."""
     rng = random.Random(upstreams)
     return [
-        Sighting(
+        RunObservation(
             rng.getrandbits(64),
             rng.getrandbits(64),
             f"u{number}",
@@ -62,9 +62,9 @@
 
 def work_of(upstreams: int) -> float:
     """Return how many operations a sighting takes where so many upstreams end at once."""
-    book: CrashBook = BookDesk().book
+    tracker: CrashTracker = TrackerHarness().tracker
     told = sightings_of(upstreams)
-    return count_operations(lambda: book.take(told)) / len(told)
+    return count_operations(lambda: tracker.take(told)) / len(told)
 
 
 def test_sighting_takes_no_more_work_where_more_is_known():
@@ -72,35 +72,35 @@
 
 
 def test_sightings_that_are_told_again_take_little():
-    book = BookDesk().book
+    tracker = TrackerHarness().tracker
     told = sightings_of(MANY_UPSTREAMS)
-    first = count_operations(lambda: book.take(told))
-    again = count_operations(lambda: [book.take(told) for _ in range(TELLINGS)])
+    first = count_operations(lambda: tracker.take(told))
+    again = count_operations(lambda: [tracker.take(told) for _ in range(TELLINGS)])
     assert again < SHARE_OF_TELLINGS * first
 
 
 def test_hold_that_is_handed_on_ends_when_it_would_have():
-    desk = BookDesk()
+    desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
-    book = desk.book
+    tracker = desk.tracker
     for _ in range(COORDINATORS):
         desk.wait(BETWEEN_COORDINATORS_S)
-        later = BookDesk(desk.clock).book
-        later.take_held(book.held())
-        book = later
+        later = TrackerHarness(desk.clock).tracker
+        later.merge_held(tracker.held())
+        tracker = later
         if desk.clock.now() >= 1000.0 + HOLD_S:
-            assert not book.is_held(CULPRIT)
+            assert not tracker.is_held(CULPRIT)
 
 
 def test_hold_that_is_handed_on_in_time_counts():
-    desk = BookDesk()
+    desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
     desk.wait(HOLD_S / 2)
-    later = BookDesk(desk.clock)
-    later.book.take_held(desk.book.held())
+    later = TrackerHarness(desk.clock)
+    later.tracker.merge_held(desk.tracker.held())
     desk.wait(HOLD_S / 2 - 1)
-    assert later.book.is_held(CULPRIT)
+    assert later.tracker.is_held(CULPRIT)
     desk.wait(2)
-    assert not later.book.is_held(CULPRIT)
+    assert not later.tracker.is_held(CULPRIT)
