--- a/mulleinreach/gateway/coordination/election.py
+++ b/mulleinreach/gateway/coordination/election.py
@@ -1,13 +1,6 @@
-"""How long a node waits before it asks for the lease of the coordinator.
+"""Delay before a node tries to acquire the coordinator's lease.
 
-Explanation
-===========
-
-A coordinator decodes the reports of all nodes, and answers each. A report takes some
-hundred bytes, an answer with the loads of all heads about a thousand, and with many
-nodes both go five times a second: 40 kbit a second for each node, 4 Mbit for a hundred.
-That is a tenth of a link of 40 Mbit/s, which carries the requests of callers as well; a
-narrower link is better left to callers.
+Nodes with little processor time or bandwidth wait longer, so that better equipped nodes win.
 """
 
 from __future__ import annotations
@@ -17,25 +10,24 @@
 from mulleinreach.gateway.deployment import GatewayIdentity
 from mulleinreach.gateway.known.turns import AMPLE_CORES
 
-# Nodes that notice together that the lease is free must not all write in the same moment.
+# Spreads the writes of nodes that find the lease free at the same time.
 MAX_ELECTION_JITTER_S = 0.06
-# With a hundred nodes, the coordinator's answers take a tenth of such a link.
+# Leaves most of the link to requests of callers, also in large deployments.
 AMPLE_LINK_MBPS = 40.0
-# Three times the random delay, so that the best nodes have written by then; callers wait for
-# the repair of lost groups meanwhile, so no longer.
+# Exceeds the jitter, so that better equipped nodes write first.
 MAX_RESOURCE_DELAY_S = 0.2
 
 
 def election_delay_s(identity: GatewayIdentity, rng: random.Random) -> float:
-    """Return for how long a node waits before it asks: a random time, and by what it lacks."""
+    """Return a node's election delay in seconds: jitter plus the delay for its resources."""
     own_s = resource_delay_s(identity.processor_cores, identity.link_mbps)
     return rng.uniform(0, MAX_ELECTION_JITTER_S) + own_s
 
 
 def resource_delay_s(processor_cores: float, link_mbps: float) -> float:
-    """Return for how long a node leaves it to better ones to become coordinator.
+    """Return the part of the election delay, in seconds, that depends on a node's resources.
 
-    What it lacks most decides: a coordinator is as quick as the scarcer of both.
+    The scarcer of processor cores and link bandwidth determines it.
 
     Examples
     ========
--- a/mulleinreach/gateway/coordination/follower.py
+++ b/mulleinreach/gateway/coordination/follower.py
@@ -25,33 +25,33 @@
 )
 from mulleinreach.gateway.coordination.succession import CONNECT_TIMEOUT_S
 
-# Evidence that is younger shows that this node reads the store itself.
+# Newer evidence shows that this node can read the store itself.
 MAX_OWN_EVIDENCE_AGE_S = 0.9
 
 
 class FollowEndReason(enum.Enum):
-    """Why following a coordinator came to its end."""
+    """Why a node stopped following a coordinator."""
 
-    # Its machine refused the connection.
+    # The connection was refused.
     PROCESS_GONE = enum.auto()
-    # No report ever came.
+    # No report was received.
     UNREACHABLE = enum.auto()
-    # Its reports came, and come no more.
+    # The connection failed or timed out after at least one report.
     CONNECTION_LOST = enum.auto()
-    # It can't renew its lease, and this node can read the store.
+    # The coordinator can't renew its lease, and this node can read the store.
     RESIGNED = enum.auto()
-    # It told of its successor.
+    # The coordinator announced its successor.
     REPLACED = enum.auto()
 
 
 @dataclass(frozen=True)
 class FollowEnd:
-    """The end of following a coordinator.
+    """Result of following a coordinator.
 
     Parameters
     ==========
 
-    resignation : the coordinator's word, if it has resigned.
+    resignation : the coordinator's resignation, if that is the reason.
     """
 
     reason: FollowEndReason
@@ -59,7 +59,7 @@
 
 
 class Follower:
-    """Reports to the coordinator, and takes in what it tells."""
+    """Sends reports to the coordinator and applies the reports that it returns."""
 
     def __init__(
         self,
@@ -72,13 +72,13 @@
         self._network = network
         self._own_reports = own_reports
         self._knowledge = knowledge
-        # Whether a coordinator reports to this node.
+        # Whether this node receives a coordinator's reports.
         self.is_following = False
-        # How many nodes there are, as the latest coordinator told.
+        # Number of nodes, from the latest coordinator report.
         self.node_count = 1
 
     async def follow(self, address: Address) -> FollowEnd:
-        """Follow the coordinator at an address until that comes to an end."""
+        """Follow the coordinator at an address until the connection or its term ends."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await self._network.connect(address)
@@ -95,7 +95,7 @@
             writer.close()
 
     async def _receive_reports(self, frames: FrameReader) -> FollowEnd:
-        """Take the coordinator's reports until it falls silent, resigns or is replaced."""
+        """Receive reports until the coordinator times out, resigns or is replaced."""
         try:
             while True:
                 async with asyncio.timeout(REPORT_TIMEOUT_S):
@@ -116,25 +116,25 @@
             )
 
     def _apply(self, report: CoordinatorReport) -> None:
-        """Take a report; what it tells is no older than what it answers."""
+        """Apply a report, dated from when the node's own report that it answers was sent."""
         answered = self._own_reports.find_sent(report.echoed_seq)
         if answered is not None:
             self._knowledge.take(report, answered.sent_at, answered.loads)
 
     def _is_replaced(self, report: CoordinatorReport) -> bool:
-        """Whether the coordinator tells of a later one."""
+        """Whether the report announces a coordinator with a higher token."""
         successor = report.totals.successor
         return successor is not None and successor.token > self._lease.token
 
     def _can_replace(self, report: CoordinatorReport) -> bool:
-        """Whether the coordinator has resigned for want of a store that we can read."""
+        """Whether the coordinator has resigned and this node can read the store."""
         is_resigned = report.totals.resignation is not None
         return is_resigned and self._knowledge.evidence_age_s() < MAX_OWN_EVIDENCE_AGE_S
 
     async def _send_reports(self, writer: FrameWriter) -> None:
         while not writer.is_closing():
             report = self._own_reports.next()
-            # A report that finds the buffer full is left out; the next one replaces it.
+            # Skipped while the send buffer is full; the next report supersedes it.
             if writer.buffered_bytes() < MAX_BUFFERED_BYTES:
                 writer.write(encode_node_report(report))
             await asyncio.sleep(report_interval_s(self.node_count))
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -1,11 +1,11 @@
-"""The coordinator's side of the connections with all other nodes.
+"""The coordinator's side of its connections with all other nodes.
 
 Explanation
 ===========
 
-Every node reports what it has in flight; the hub adds that up and tells all nodes the
-totals, and what else the coordinator knows. The totals are encoded once for all; the
-changes of the list go to each node once, in order.
+Every node reports its load. The hub sends the totals and the coordinator's state to all nodes.
+Totals are encoded once for all nodes; changes of the upstream list are sent to each node once,
+in order.
 """
 
 from __future__ import annotations
@@ -32,33 +32,31 @@
 from mulleinreach.gateway.known.permits import PermitCount
 
 REPORT_INTERVAL_S = 0.1
-# With many nodes the reports would take too much of a slow coordinator's time.
+# Limits the coordinator's processor time in large deployments.
 LARGE_CLUSTER_INTERVAL_S = 0.2
 SMALL_CLUSTER_MAX_NODES = 32
-# A connection on which no report came for so long is given up.
+# A connection without a report for this time is closed.
 REPORT_TIMEOUT_S = 1.0
 MAX_BUFFERED_BYTES = 262_144
-# A node that can read the store has by then noticed that its evidence is old (1.5 s),
-# has read and asked for the lease (0.3 s), and has left a coordinator that resigned.
+# By then a node that can read the store has replaced a coordinator that resigned.
 REPLACEMENT_DEADLINE_S = 2.0
-# A hall that fails is found within some seconds of its nodes' last reports. Nodes that were
-# taken away should not count for longer.
+# Long enough to detect a failed hall by the age of its nodes' last reports.
 RECENT_NODE_TTL_S = 5.0
 
 
 def report_interval_s(node_count: int) -> float:
-    """Return the time between two reports, which all nodes keep."""
+    """Return the interval between the reports of each node and of the coordinator."""
     return REPORT_INTERVAL_S if node_count <= SMALL_CLUSTER_MAX_NODES else LARGE_CLUSTER_INTERVAL_S
 
 
 @dataclass(frozen=True)
 class RecentNode:
-    """A node as it was heard last; its connection may have ended since then.
+    """The latest report of a node, whose connection may have ended since.
 
     Parameters
     ==========
 
-    silent_s : time since its latest report; 0 at the coordinator itself.
+    silent_s : seconds since the report was received; 0 for the coordinator itself.
     """
 
     report: NodeReport
@@ -80,17 +78,17 @@
     sent_revision: int | None = None
     sent_configuration: int = 0
     has_list: bool = False
-    # The number of the report that permits were given out on.
+    # Sequence number of the latest report for which permits were allocated.
     allocated_seq: int = -1
 
 
 class MemberHub:
-    """The connections of all other nodes with this one while it coordinates.
+    """Serves the connections of all other nodes while this node coordinates.
 
     Parameters
     ==========
 
-    own_report : returns what this node itself would report.
+    own_report : returns this node's own report.
     """
 
     def __init__(
@@ -119,14 +117,14 @@
         self._resignation: Resignation | None = None
         self._resigned_at = 0.0
         self._has_lost_members = False
-        # Who has replaced this coordinator, as the new one told here.
+        # The coordinator that has replaced this one, as reported by the new one.
         self.successor: Successor | None = None
         self.is_open = False
         self.node_count = 1
 
     @property
     def resignation(self) -> Resignation | None:
-        """What the coordinator told when it could not renew its lease, while that holds."""
+        """The resignation in force; ``None`` while the lease is held."""
         return self._resignation
 
     @resignation.setter
@@ -137,31 +135,31 @@
         self._resignation = resignation
 
     def is_store_unavailable(self) -> bool:
-        """Whether no node can read the store, as far as can be told here.
+        """Whether no node appears to be able to read the store.
 
-        A node that can read it replaces a coordinator that has resigned, and leaves.
-        A coordinator that nobody reports to can't tell an outage from a cut.
+        A node that can read it replaces a resigned coordinator and disconnects from it. Without
+        connected nodes, an outage of the store can't be distinguished from a network partition.
         """
         if self._resignation is None or self._has_lost_members or not self._members:
             return False
         return self._clock.now() - self._resigned_at > REPLACEMENT_DEADLINE_S
 
     async def listen(self) -> None:
-        """Listen for other nodes; they are heard while the hub is open."""
+        """Start listening; reports are accepted while the hub is open."""
         self._server = await self._network.listen(self._address, self._serve_member)
 
     def stop_listening(self) -> None:
-        """Refuse new connections, which shows others that this process ends."""
+        """Refuse new connections, which shows other nodes that this process is ending."""
         if self._server is not None:
             self._server.close()
 
     def close_connections(self) -> None:
-        """End the connections that there are."""
+        """Close all connections."""
         for member in list(self._members.values()):
             member.writer.close()
 
     async def report_to_members(self) -> None:
-        """Tell all members the totals, for ever."""
+        """Send the totals to all members periodically, until cancelled."""
         self._numbering = NodeNumbers(self._clock.now())
         self._allocator = PermitAllocator(self._clock.now())
         while True:
@@ -181,14 +179,14 @@
             for member in list(self._members.values()):
                 if member.report is not None:
                     self._report_to(member, encoded, tuple(permits.get(member, ())))
-            # Its own word on removed upstreams would keep them for ever.
+            # Applying its own flag would make this node retain removed upstreams forever.
             own_totals = replace(totals, keeps_removed=False)
             own = CoordinatorReport(0, own_totals, permits=tuple(permits.get(None, ())))
             self._knowledge.take(own, self._clock.now(), reports[0].loads)
             await asyncio.sleep(report_interval_s(self.node_count))
 
     def _numbers(self) -> int:
-        """Return how many numbers the nodes have; 0 where another one may coordinate by now."""
+        """Return the count of node numbers; 0 if another node may be coordinating."""
         if self._lease.is_held():
             known = [m for m in self._members.values() if m.report is not None]
             self._numbering.update(known, self._clock.now())
@@ -196,12 +194,12 @@
         return self._numbering.count if self.is_store_unavailable() else 0
 
     def _allocate_permits(self, own_report: NodeReport) -> dict[_Member | None, list[PermitCount]]:
-        """Return the permits that each member gets now; this node's own under ``None``."""
+        """Return the permits for each member; those for this node have the key ``None``."""
         if not (self._lease.is_held() or self.is_store_unavailable()):
             return {}
         wanted: dict[_Member | None, tuple[PermitCount, ...]] = {None: own_report.wanted}
         for member in self._members.values():
-            # A report that was answered doesn't know of the permits that the answer gave.
+            # A report that was already answered doesn't account for the permits in the answer.
             if member.report is not None and member.report.seq != member.allocated_seq:
                 wanted[member] = member.report.wanted
                 member.allocated_seq = member.report.seq
@@ -218,7 +216,7 @@
             member.sent_revision = changes[-1].revision
         is_unknown = changes is None
         if is_unknown:
-            # The node reads the list itself, and tells how far it then goes.
+            # The node reads the list from the store and reports its new revision.
             member.sent_revision = None
         data = encode_coordinator_report(
             member.report.seq,
@@ -231,13 +229,13 @@
             permits,
         )
         if member.writer.buffered_bytes() > MAX_BUFFERED_BYTES:
-            # Changes can't be left out, so a node that is too slow begins anew.
+            # Changes must not be skipped, so a node that reads too slowly has to reconnect.
             member.writer.close()
         else:
             member.writer.write(data)
 
     def _list_for(self, member: _Member) -> bytes:
-        """Return the whole list for a member that has none; it is sent to it once."""
+        """Return the encoded list for a member without one; empty if it was sent before."""
         if member.has_list or member.report.list_revision:
             member.has_list = True
             return b""
@@ -250,7 +248,7 @@
         return self._encoded_list[1]
 
     def _missing_configuration(self, member: _Member) -> bytes:
-        """Return the configuration if a member lacks it; each is sent to it once."""
+        """Return the configuration if a member lacks it; each version is sent once."""
         version = self._knowledge.configuration_version()
         if max(member.report.configuration_version, member.sent_configuration) >= version:
             return b""
@@ -258,13 +256,13 @@
         return self._knowledge.configuration_document()
 
     def node_reports(self) -> list[NodeReport]:
-        """Return the latest report of each node, our own first."""
+        """Return the latest report of each connected node, this node's own first."""
         return [self._own_report()] + [
             m.report for m in self._members.values() if m.report is not None
         ]
 
     def recent_nodes(self) -> list[RecentNode]:
-        """Return the nodes that were heard lately, connected or not, our own first."""
+        """Return the nodes that reported recently, connected or not, this node first."""
         now = self._clock.now()
         self._received = {
             n: h for n, h in self._received.items() if now - h.received_at <= RECENT_NODE_TTL_S
@@ -273,14 +271,14 @@
         return [RecentNode(self._own_report(), 0.0), *others]
 
     def _record_report(self, report: NodeReport) -> None:
-        """Note when a node was heard; one that stops as planned is silent from then on."""
+        """Record a node's report; a node that is stopping is removed instead."""
         if report.is_stopping:
             self._received.pop(report.node, None)
         else:
             self._received[report.node] = _ReceivedReport(report, self._clock.now())
 
     def _accept_successor(self, successor: Successor) -> None:
-        """Take the word of a new coordinator, which has read this one's secret in the row."""
+        """Record a successor that has a higher token than this coordinator."""
         if successor.token > self._lease.token:
             self.successor = successor
 
@@ -295,7 +293,7 @@
                 async with asyncio.timeout(REPORT_TIMEOUT_S):
                     report = decode_node_report(await frames.read())
                 if not hmac.compare_digest(report.secret, self._lease.secret):
-                    raise PeerError("a report without the secret of the lease")
+                    raise PeerError("report without the secret of the lease")
                 if report.successor is not None:
                     self._accept_successor(report.successor)
                     return
@@ -305,7 +303,7 @@
                 self._knowledge.merge_limits(report.limits)
                 self._record_report(report)
                 if is_first and self._latest_totals is not None:
-                    # What a node knows at its start it should know at once.
+                    # A node that has just connected gets the current state without delay.
                     self._report_to(member, self._latest_totals)
         except (PeerError, OSError, TimeoutError):
             pass
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -1,17 +1,14 @@
-"""The lease of the coordinator: one row, written under a condition on its version.
+"""The coordinator's lease: one row of the store, updated by compare-and-swap on its version.
 
 Explanation
 ===========
 
-Lease time is counted on the steady clock from before a renewal was sent. Another
-node takes the lease over once it has seen the row unchanged for longer than that,
-or once the holder's process is known to have ended. Each change of holder raises
-``token``; epochs of groups begin with it, so that an order of an earlier holder
-is refused by hosts that have seen one of a later holder.
+The holder measures the lease on a monotonic clock, from before it sent the last renewal. Another
+node may acquire the lease once the row has not changed for longer than the lease duration, or at
+once if the holder's process has ended. Each change of holder increments the fencing token.
 
-A store that was restored may show the row of an earlier holder, while a later one, whose row is
-lost, still counts its lease. So a node that didn't hold the lease when it hears of the restore
-may write the row, but gives no orders until such a lease would have lapsed.
+A restored store may show the row of an earlier holder. A node that detects a restore while it does
+not hold the lease gives no orders until any lease that the restore lost has expired.
 """
 
 from __future__ import annotations
@@ -37,18 +34,17 @@
 
 LEASE_DURATION_S = 2.0
 RENEW_INTERVAL_S = 0.7
-# What is left of a lease at least right before a renewal, while the store answers in time.
+# Time left on the lease right before a renewal, if the previous renewals were on time.
 MIN_FRESH_REMAINING_S = 1.1
 SECRET_BYTES = 16
 CLOCK_RATE_MARGIN = 0.02
-# How much tokens rise where a store was restored: more than holders can have changed within the
-# seconds that its copy lacks.
+# Exceeds the number of changes of holder that a restore can lose.
 RESTORE_TOKEN_INCREMENT = 100
 NEVER = float("-inf")
 
 
 class LeaseState(enum.Enum):
-    """What a look at the row showed."""
+    """Who holds the lease, as the last read of its row showed."""
 
     HELD_BY_SELF = enum.auto()
     HELD_BY_OTHER = enum.auto()
@@ -57,11 +53,11 @@
 
 
 class RenewalOutcome(enum.Enum):
-    """What came of an attempt to renew the lease.
+    """Result of an attempt to renew the lease.
 
-    ``RENEWED_ROWS_CHANGED``: renewed, but the configuration is not the one that was named.
-    ``RENEWED_BY_EARLIER_WRITE``: an earlier renewal, whose answer was lost, has been carried out.
-    ``UNKNOWN``: the store gave no answer, and the row may still be ours.
+    ``RENEWED_ROWS_CHANGED``: renewed, but the operators' rows have changed since they were read.
+    ``RENEWED_BY_EARLIER_WRITE``: an earlier renewal, whose response was lost, has been applied.
+    ``UNKNOWN``: the outcome is not known, and this node may still hold the lease.
     """
 
     RENEWED = enum.auto()
@@ -73,12 +69,12 @@
 
 @dataclass(frozen=True)
 class Resignation:
-    """A holder's word that it gives no orders unless it renews the row once more.
+    """Notice that the holder gives no orders until it renews the lease again.
 
     Parameters
     ==========
 
-    token, renewal : name the state of the row which the word is about.
+    token, renewal : the token and the renewal count of the row when the holder resigned.
     """
 
     token: int
@@ -87,13 +83,13 @@
 
 @dataclass(frozen=True)
 class Successor:
-    """A holder of the lease, as the nodes tell each other that can't read the row.
+    """The new holder of the lease, sent between nodes when some of them can't read the row.
 
     Parameters
     ==========
 
-    address : where other nodes reach it.
-    secret : what reports to it have to show.
+    address : the address on which it accepts reports.
+    secret : the secret that reports to it must contain.
     """
 
     token: int
@@ -107,9 +103,9 @@
     Parameters
     ==========
 
-    holder : names this life of the process, as ``NODE.INCARNATION``.
-    address : where other nodes reach it.
-    is_first_start : whether nobody has held the lease before this process started.
+    holder : id of this process as a holder, in the form ``NODE.INCARNATION``.
+    address : the address on which other nodes reach this node.
+    is_first_start : whether no node held the lease before this process started.
     """
 
     def __init__(
@@ -130,39 +126,39 @@
         self._version = 0
         self._version_seen_at = NEVER
         self._held_until = NEVER
-        # The store's era, as it was read last.
+        # The store's era, which each restore increments, as last read.
         self._era: int | None = None
         self._others_may_hold_until = NEVER
         self.record: LeaseRecord | None = None
-        # Tokens rise even if the row is lost or spoilt: hosts remember the highest one.
+        # Kept apart from the row, so that tokens increase even if the row is lost or unreadable.
         self._highest_token = 0
-        # When the renewal that has had no answer was first sent, and its number.
+        # Renewal count and first send time of the renewal whose outcome is unknown.
         self._unanswered: tuple[int, float] | None = None
-        # Set while a host is known to have orders of a later holder.
+        # Set when a host refuses an order because of a higher token; cleared on acquiring.
         self.fenced = asyncio.Event()
 
     @property
     def token(self) -> int:
-        """The token of the latest holder known."""
+        """The token of the latest known holder."""
         return self.record.token if self.record else 0
 
     @property
     def secret(self) -> str:
-        """The secret of the latest holder known."""
+        """The secret of the latest known holder."""
         return self.record.secret if self.record else ""
 
     def is_held(self) -> bool:
-        """Whether this node may give orders at this moment."""
+        """Whether this node holds the lease and may give orders now."""
         now = self._clock.now()
         is_sole_holder = now >= self._others_may_hold_until
         return not self.fenced.is_set() and is_sole_holder and now < self._held_until
 
     def is_fresh(self) -> bool:
-        """Whether the latest renewal was done in time, so that the store can be written."""
+        """Whether the latest renewal was on time, which shows that the store accepts writes."""
         return self.is_held() and self._held_until - self._clock.now() >= MIN_FRESH_REMAINING_S
 
     async def read_state(self) -> LeaseState:
-        """Read the row."""
+        """Read the row and return who holds the lease."""
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return LeaseState.UNKNOWN
@@ -186,7 +182,7 @@
         self._detect_restore(result)
 
     def _detect_restore(self, result: LeaseRead) -> None:
-        """Wait for leases to lapse whose rows may be lost, if the store was restored."""
+        """If the store was restored, wait until any lease that the restore lost has expired."""
         previous_era, self._era = self._era, result.era
         is_restored = (
             self._may_have_lost_holder(result)
@@ -200,13 +196,13 @@
         self._log.event("lease_row_restored", era=result.era, token=self.token)
 
     def _may_have_lost_holder(self, result: LeaseRead) -> bool:
-        """Whether nobody has written the row since a restore that this process didn't see."""
+        """Whether the row has not been written since a restore before this process's first read."""
         if result.record is None:
             return result.era > 0 and not self._is_first_start
         return result.record.era < result.era
 
     def _is_earlier_incarnation(self, record: LeaseRecord) -> bool:
-        """Whether the holder was this node before it was restarted."""
+        """Whether the holder is this node before its last restart."""
         name = self._holder.rpartition(".")[0]
         return record.holder != self._holder and record.holder.rpartition(".")[0] == name
 
@@ -215,7 +211,7 @@
         return unchanged_s > LEASE_DURATION_S * (1 + CLOCK_RATE_MARGIN)
 
     async def acquire(self) -> bool:
-        """Take the lease that was last seen; fails if anybody wrote the row since."""
+        """Acquire the lease; returns ``False`` if the row changed since it was last read."""
         sent_at = self._clock.now()
         secret = secrets.token_hex(SECRET_BYTES)
         inheritance = self.record.inheritance if self.record else HandoverState()
@@ -230,7 +226,7 @@
         return True
 
     async def acquire_after(self, resignation: Resignation) -> bool:
-        """Take the lease if its row is still as it was when its holder resigned."""
+        """Acquire the lease if its row has not changed since the holder resigned."""
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return False
@@ -243,14 +239,14 @@
     async def renew(
         self, unchanged: OperatorRows | None = None, inheritance: HandoverState | None = None
     ) -> RenewalOutcome:
-        """Extend the lease, or take it up again while nobody has written the row since.
+        """Extend the lease, or reacquire it if no other node has written the row since.
 
         Parameters
         ==========
 
-        unchanged : the operators' rows, if they are known. ``RENEWED`` proves that they had
-            written nothing newer when the renewal began.
-        inheritance : what nodes that start should know; as it was if it is left out.
+        unchanged : the operators' rows that the write requires to be unchanged, if known.
+            ``RENEWED`` proves that they had not changed when the renewal began.
+        inheritance : state for the next coordinator; by default that of the current row.
         """
         if self.fenced.is_set():
             return RenewalOutcome.LOST
@@ -277,10 +273,10 @@
         return RenewalOutcome.UNKNOWN
 
     async def _check_for_late_write(self) -> RenewalOutcome:
-        """Find out whether the row was changed by a write of ours whose answer was lost.
+        """Check whether the row was changed by this node's own write whose response was lost.
 
-        Such a write extends the lease from when it was first sent, however late the
-        store carried it out: others count from when they see the row changed.
+        Such a write extends the lease from the time at which it was first sent, even if the
+        store applied it later.
         """
         result = await self._store.read()
         if isinstance(result, Unavailable):
@@ -304,14 +300,13 @@
         self._held_until = sent_at + LEASE_DURATION_S * (1 - CLOCK_RATE_MARGIN)
 
     def as_successor(self) -> Successor:
-        """Return the latest holder known, for nodes that can't read the row."""
+        """Return the latest known holder, for nodes that can't read the row."""
         return Successor(self.record.token, self.record.address, self.record.secret)
 
     def adopt(self, successor: Successor) -> None:
-        """Follow the holder that another node has named.
+        """Replace the known holder by a successor that another node reported.
 
-        That is enough to report there. The row's version stays as it was read last, so
-        that nothing can be written by that alone.
+        The row's version is left unchanged, so this alone doesn't allow writing the row.
         """
         self.relinquish()
         self._highest_token = max(self._highest_token, successor.token)
@@ -320,10 +315,10 @@
         )
 
     def mark_fenced(self) -> None:
-        """Note that a host has seen an order under a higher token: this term is over for good."""
+        """End this term for good: a host has seen an order with a higher token."""
         self._log.event("lease_fenced", token=self.token)
         self.fenced.set()
 
     def relinquish(self) -> None:
-        """Give no more orders under this lease."""
+        """Stop giving orders under this lease, without writing the row."""
         self._held_until = NEVER
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -1,13 +1,11 @@
-"""Finds or becomes the coordinator, and exchanges reports with it.
+"""Finds the coordinator or becomes it, and exchanges reports with it.
 
 Explanation
 ===========
 
-Every node has one connection to the coordinator. Over it go what the node has in
-flight, and back come the totals, the heads that are open and the upstreams that
-are lost. A node that is connected has no need to read the lease. A refused
-connection shows that the holder's process has ended, so the lease may be taken
-at once; silence shows nothing, and the lease has to lapse first.
+Every node has one connection to the coordinator, and doesn't read the lease while it is connected.
+A refused connection shows that the holder's process has ended, so the lease may be acquired at
+once. After a timeout the lease has to expire first.
 """
 
 from __future__ import annotations
@@ -38,14 +36,14 @@
 
 
 class Coordination:
-    """This node's part: coordinator or one that reports to it.
+    """Runs this node as the coordinator or as a follower of it.
 
     Parameters
     ==========
 
-    identity : who this node is, and where the others reach it.
-    coordinate : runs for as long as the lease is held; cancelled when it is lost.
-    knowledge : what is passed on.
+    identity : this node's name, address and resources.
+    coordinate : runs while the lease is held; cancelled when the lease is lost.
+    knowledge : the state that nodes exchange.
     """
 
     def __init__(
@@ -77,44 +75,44 @@
         self._known_state: LeaseState | None = None
 
     async def listen(self) -> None:
-        """Accept connections of other nodes."""
+        """Accept connections from other nodes."""
         await self._hub.listen()
 
     def begin_stopping(self) -> None:
-        """Tell the others that this node stops, and hand the lease over."""
+        """Announce that this node is stopping, and hand over the lease if it holds it."""
         self._own_reports.is_stopping = True
 
     async def close(self) -> None:
-        """Stop listening and end the connections."""
+        """Stop listening and close all connections."""
         self._lease.relinquish()
         self._hub.stop_listening()
         self._hub.close_connections()
 
     @property
     def is_hub(self) -> bool:
-        """Whether the other nodes meet here, under the lease or while it can't be renewed."""
+        """Whether other nodes report to this one, even while the lease can't be renewed."""
         return self._hub.is_open
 
     @property
     def is_following(self) -> bool:
-        """Whether a coordinator reports to this node."""
+        """Whether this node receives a coordinator's reports."""
         return self._follower.is_following
 
     @property
     def node_count(self) -> int:
-        """How many nodes there are, as known."""
+        """The known number of nodes."""
         return self._hub.node_count if self.is_hub else self._follower.node_count
 
     def node_reports(self) -> list[NodeReport]:
-        """Return the latest report of each node, our own first."""
+        """Return the latest report of each connected node, this node's own first."""
         return self._hub.node_reports()
 
     def recent_nodes(self) -> list[RecentNode]:
-        """Return the nodes that were heard lately, our own first."""
+        """Return the nodes that reported recently, this node first."""
         return self._hub.recent_nodes()
 
     async def run(self) -> None:
-        """Take part for ever."""
+        """Coordinate or follow until cancelled."""
         while True:
             try:
                 await self._run_once()
@@ -133,14 +131,14 @@
             await self._follow(Address.parse(self._lease.record.address))
 
     async def _read_lease(self) -> LeaseState:
-        """Read the lease's row, and what its holder left there for nodes that start."""
+        """Read the lease, and apply the state that its holder has stored with it."""
         state = await self._lease.read_state()
         if self._lease.record is not None:
             self._knowledge.apply_inheritance(self._lease.record.inheritance)
         return state
 
     async def _follow(self, address: Address) -> None:
-        """Follow a coordinator, and do what its end asks for."""
+        """Follow a coordinator until that ends, then act on the reason."""
         ended = await self._follower.follow(address)
         if ended.reason is FollowEndReason.PROCESS_GONE:
             await self._stand_for_election()
@@ -158,8 +156,7 @@
             return
         record = self._lease.record
         await asyncio.sleep(self._election_delay_s())
-        # Most nodes find here that another one was first, which spares them a write.
-        # A row that its holder has renewed meanwhile must not be taken either.
+        # Another node may have acquired the lease, or its holder renewed it, during the delay.
         state = await self._lease.read_state()
         if self._lease.record != record:
             self._known_state = state
@@ -178,11 +175,11 @@
             await self._back_off_after_election()
 
     async def _back_off_after_election(self) -> None:
-        """Leave time to the node that was first, or to a store that loses answers."""
+        """Wait a random time: another node was elected, or the store doesn't respond."""
         await asyncio.sleep(self._rng.uniform(1, 2) * RETRY_S)
 
     async def _coordinate_after(self, replaced_record: LeaseRecord | None) -> None:
-        """Coordinate, and tell the holder of an earlier record, if that was another node."""
+        """Coordinate, and notify the previous holder if it was another node."""
         if replaced_record is None or replaced_record.address == str(self._identity.peers):
             await self._coordinate()
             return
@@ -198,7 +195,7 @@
             notification.cancel()
 
     async def _coordinate(self) -> None:
-        """Coordinate for one term; after giving way, follow the successor without a look."""
+        """Coordinate for one term; after stepping down, follow the successor directly."""
         if await self._term.serve():
             self._known_state = LeaseState.HELD_BY_OTHER
 
--- a/mulleinreach/gateway/coordination/succession.py
+++ b/mulleinreach/gateway/coordination/succession.py
@@ -1,4 +1,4 @@
-"""Tells a coordinator that it has been replaced, which it may be unable to read itself."""
+"""Notifies a replaced coordinator, which may be unable to read the lease itself."""
 
 from __future__ import annotations
 
@@ -15,21 +15,20 @@
 )
 from mulleinreach.gateway.ports import LeaseRecord
 
-# Nodes are some milliseconds apart; one that doesn't answer by then is cut off or frozen.
 CONNECT_TIMEOUT_S = 0.5
 
 
 async def notify_replaced(
     replaced_record: LeaseRecord, successor: Successor, node: str, network: Network, log: EventLog
 ) -> None:
-    """Tell the holder of an earlier record who is in its place now.
+    """Notify the holder of an earlier lease record of its successor.
 
-    Some of the nodes that meet there can't read that in the store either.
+    The previous holder announces the successor to its followers, which may not reach the store.
 
     Parameters
     ==========
 
-    node : the name of the node that tells it.
+    node : the name of the node that sends the notice.
     """
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -1,11 +1,11 @@
-"""A term of the coordinator: renews the lease, resigns, and gives way to a successor.
+"""A coordinator's term: renews the lease, resigns, and steps down for a successor.
 
 Explanation
 ===========
 
-A coordinator that can't renew its lease gives no more orders, but stays the place
-where nodes meet: it resigns in its reports, goes on once it can renew the same row,
-and is replaced by a node that can read the store itself.
+A coordinator that can't renew its lease gives no more orders, but keeps exchanging reports with
+the other nodes. It announces its resignation in them, and continues once it has renewed the lease
+or until a node that can reach the store replaces it.
 """
 
 from __future__ import annotations
@@ -25,31 +25,30 @@
 from mulleinreach.gateway.coordination.own_report import OwnReports
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 
-# Seconds until the next renewal after one whose outcome isn't known.
+# Delay until the next renewal after one whose outcome is unknown.
 UNKNOWN_OUTCOME_RETRY_S = 0.15
-# Seconds until the next renewal after one that was done.
+# Delay until the next renewal after a successful one.
 RENEW_PAUSES_S = {
     RenewalOutcome.RENEWED: RENEW_INTERVAL_S,
     RenewalOutcome.RENEWED_ROWS_CHANGED: RENEW_INTERVAL_S,
-    # The next answer may be lost too, and the lease counts from the earlier write.
+    # Shorter, since the lease already runs from the earlier write.
     RenewalOutcome.RENEWED_BY_EARLIER_WRITE: 0.3,
 }
-# Without the lease there is no hurry but to find out that the store is back.
+# Interval between attempts to reacquire an expired lease.
 REACQUIRE_INTERVAL_S = 0.5
-# For so long a replaced coordinator tells its nodes who has replaced it: two reports at
-# least reach a node that is connected.
+# Long enough for at least two reports to each connected node.
 SUCCESSOR_NOTICE_S = 0.5
 
 
 class CoordinatorTerm:
-    """What this node does from taking the lease until another one holds it.
+    """Runs this node as coordinator from acquiring the lease until another node holds it.
 
     Parameters
     ==========
 
-    hub : where the other nodes meet.
-    own_reports : tells whether this node is stopping.
-    coordinate : runs for as long as the lease is held; cancelled when it is lost.
+    hub : serves the connections of the other nodes.
+    own_reports : provides whether this node is stopping.
+    coordinate : runs while the lease is held; cancelled when the lease is lost.
     """
 
     def __init__(
@@ -72,9 +71,9 @@
         self._stepped_down = False
 
     async def serve(self) -> bool:
-        """Coordinate until somebody else holds the lease, or this node stops.
+        """Coordinate until another node holds the lease, or this node stops.
 
-        Returns whether it gave way to a successor, which this node can follow at once.
+        Returns whether this node stepped down for a known successor, which it can follow directly.
         """
         self._stepped_down = False
         self._hub.resignation = None
@@ -96,15 +95,15 @@
         reporting.cancel()
         await asyncio.gather(reporting, return_exceptions=True)
         if self._own_reports.is_stopping:
-            # Others take the lease at once where they find nobody listening.
+            # A refused connection lets other nodes acquire the lease at once.
             self._hub.stop_listening()
         self._hub.close_connections()
 
     async def _coordinate_while_held(self, reporting: asyncio.Task) -> bool:
-        """Do the duty under the lease, and renew it, until the lease or this node ends.
+        """Run the coordinator's duty and renew the lease until it is lost or this node stops.
 
-        Returns whether the lease may be taken up again: the store gave no answer, and nobody
-        else is known to hold it.
+        Returns whether to try to reacquire the lease: the last renewal's outcome is unknown, and
+        no other node is known to hold the lease.
         """
         duty = asyncio.create_task(self._coordinate())
         fenced = asyncio.create_task(self._lease.fenced.wait())
@@ -126,7 +125,7 @@
                 if not self._lease.is_held():
                     return True
                 pause_s = RENEW_PAUSES_S.get(renewal, UNKNOWN_OUTCOME_RETRY_S)
-            # A node that stops hands the lease over, unless nobody can take it.
+            # A stopping node hands over the lease, unless the store is unavailable.
             return renewal is RenewalOutcome.UNKNOWN
         finally:
             duty.cancel()
@@ -134,7 +133,7 @@
             await asyncio.gather(duty, fenced, return_exceptions=True)
 
     async def _renew(self) -> RenewalOutcome:
-        """Renew the lease, and have the same write prove what is known of the store."""
+        """Renew the lease; the same write verifies that the operators' rows are unchanged."""
         rows = self._knowledge.operator_rows()
         asked_at = self._clock.now()
         renewal = await self._lease.renew(rows, self._knowledge.inheritance())
@@ -149,10 +148,10 @@
         return renewal
 
     async def _reacquire(self, reporting: asyncio.Task) -> bool:
-        """Resign, and wait until the lease is held again; returns whether it is.
+        """Resign, and retry until the lease is held again; returns whether it is.
 
-        A node that stops stays the place where the others meet: while nobody can write
-        the row, no other one can take its place.
+        A stopping node keeps serving the others meanwhile: no other node can replace it while the
+        store is unavailable.
         """
         self._lease.relinquish()
         self._log.event("lease_lapsed", token=self._lease.token)
@@ -172,7 +171,7 @@
         return False
 
     async def _step_down(self, successor: Successor) -> None:
-        """Tell the nodes that meet here whom to follow, then follow it too."""
+        """Announce the successor to the connected nodes, then adopt it."""
         self._log.event("coordinator_replaced", token=successor.token, by=successor.address)
         await asyncio.sleep(SUCCESSOR_NOTICE_S)
         self._lease.adopt(successor)
