--- a/mulleinreach/gateway/coordination/__init__.py
+++ b/mulleinreach/gateway/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Who coordinates, and what nodes and the coordinator tell each other."""
+"""Election of the coordinator, and the reports between it and the other nodes."""
--- a/mulleinreach/gateway/coordination/frames.py
+++ b/mulleinreach/gateway/coordination/frames.py
@@ -1,11 +1,6 @@
-"""Messages on a connection between two nodes, each with its length and compressed.
+"""Framing of messages between two nodes: a length prefix and a compressed payload.
 
-Explanation
-===========
-
-Nearly all that nodes tell each other is told again a moment later with a few figures
-changed, and bytes between halls have their price. So each side of a connection keeps
-one stream of compression for as long as the connection lasts.
+Successive messages differ little, so each direction of a connection uses one compression stream.
 """
 
 from __future__ import annotations
@@ -16,15 +11,14 @@
 
 MAX_MESSAGE_BYTES = 4_000_000
 _LENGTH = struct.Struct(">I")
-# A window of 4 KB covers the last few messages, and costs 20 KB a connection: a
-# coordinator of 350 nodes spends 7 MB. Measured: 926 bytes of totals become 299.
+# A small window covers the last few messages and keeps the memory per connection low.
 _LEVEL = 1
 _WINDOW_BITS = -12
 _MEMORY_LEVEL = 5
 
 
 class PeerError(Exception):
-    """The connection to a peer is of no use any more."""
+    """The connection to a peer is no longer usable."""
 
 
 class FrameWriter:
@@ -35,20 +29,20 @@
         self._stream = zlib.compressobj(_LEVEL, zlib.DEFLATED, _WINDOW_BITS, _MEMORY_LEVEL)
 
     def write(self, message: bytes) -> None:
-        """Put one message into the send buffer."""
+        """Add one message to the send buffer."""
         data = self._stream.compress(message) + self._stream.flush(zlib.Z_SYNC_FLUSH)
         self._writer.write(_LENGTH.pack(len(data)) + data)
 
     def buffered_bytes(self) -> int:
-        """Return how much the peer hasn't taken yet."""
+        """Return the number of bytes in the send buffer."""
         return self._writer.transport.get_write_buffer_size()
 
     def is_closing(self) -> bool:
-        """Whether nothing can be written any more."""
+        """Whether the connection is closing or closed."""
         return self._writer.is_closing()
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self._writer.close()
 
 
@@ -60,15 +54,21 @@
         self._stream = zlib.decompressobj(_WINDOW_BITS)
 
     async def read(self) -> bytes:
-        """Return the next message; raises :class:`PeerError` when none can come any more."""
+        """Return the next message.
+
+        Raises
+        ======
+
+        PeerError : if the connection ends, or a message is too long or malformed.
+        """
         try:
             (length,) = _LENGTH.unpack(await self._reader.readexactly(_LENGTH.size))
             if length > MAX_MESSAGE_BYTES:
-                raise PeerError(f"a message of {length} bytes")
+                raise PeerError(f"message of {length} bytes is too long")
             data = await self._reader.readexactly(length)
             message = self._stream.decompress(data, MAX_MESSAGE_BYTES)
         except (asyncio.IncompleteReadError, OSError, zlib.error) as error:
             raise PeerError(str(error)) from error
         if self._stream.unconsumed_tail:
-            raise PeerError(f"a message of over {MAX_MESSAGE_BYTES} bytes")
+            raise PeerError(f"decompressed message exceeds {MAX_MESSAGE_BYTES} bytes")
         return message
--- a/mulleinreach/gateway/coordination/lease_document.py
+++ b/mulleinreach/gateway/coordination/lease_document.py
@@ -1,4 +1,4 @@
-"""What the lease's row holds, as a document that any store can keep."""
+"""Encodes the content of the lease's row as a document, independent of the store."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def encode_record(record: LeaseRecord) -> dict[str, object]:
-    """Return a record as a document.
+    """Return the document for a record.
 
     Examples
     ========
@@ -35,7 +35,7 @@
 
 
 def decode_record(document: dict) -> LeaseRecord | None:
-    """Return the record that a document holds; none, with a log line, if it can't be read."""
+    """Return the record in a document; logs a warning and returns ``None`` if unreadable."""
     try:
         return LeaseRecord(
             str(document["holder"]),
@@ -44,7 +44,7 @@
             int(document["renewal"]),
             str(document["secret"]),
             _decode_inheritance(document),
-            # Earlier releases didn't tell it.
+            # Absent in documents of earlier releases.
             int(document.get("era", 0)),
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -53,9 +53,9 @@
 
 
 def _decode_inheritance(document: dict) -> HandoverState:
-    """Return what a coordinator left; nothing if that can't be read.
+    """Return the state for the next coordinator; an empty one if it can't be read.
 
-    Earlier releases left less. Nobody needs any of it to coordinate.
+    Earlier releases stored less of it. It isn't required to coordinate.
     """
     try:
         waits = document.get("first_waits", {}).items()
@@ -69,7 +69,7 @@
 
 
 def _decode_held(document: dict) -> tuple[HeldContent, ...]:
-    """Return the requests that are held; earlier releases didn't tell for how much longer."""
+    """Return the held requests; earlier releases don't store the remaining times."""
     contents = [parse_digest(text) for text in document.get("held", [])]
     times_s = [float(seconds) for seconds in document.get("held_for_s", [])]
     return held_contents(contents, times_s)
--- a/mulleinreach/gateway/coordination/messages.py
+++ b/mulleinreach/gateway/coordination/messages.py
@@ -1,4 +1,4 @@
-"""The Cap'n Proto form of the reports between a node and the coordinator."""
+"""Cap'n Proto encoding of the reports between a node and the coordinator."""
 
 from __future__ import annotations
 
@@ -26,8 +26,7 @@
 
 MAX_UINT16 = 65_535
 MAX_UINT32 = 4_294_967_295
-# What reading one message may touch, in words of 8 bytes: six times the whole list of 2,840
-# hosts. A spoilt length in a list of nothing kept a node from its loop for 40 seconds without it.
+# In words of 8 bytes; bounds the time to read a message with a corrupted list length.
 MAX_TRAVERSAL_WORDS = 524_288
 
 capnp.remove_import_hook()
@@ -35,7 +34,7 @@
 
 
 def _read(schema, data: bytes):
-    """Return a message that is read as its fields are asked for, within bounds."""
+    """Return a lazily decoded message with a bounded traversal."""
     return schema.from_bytes_packed(data, traversal_limit_in_words=MAX_TRAVERSAL_WORDS)
 
 
@@ -98,10 +97,10 @@
 
 
 def _unpack_limits(rows) -> tuple[NamedLimit, ...]:
-    """Return limits; one that is less than nothing, or no number, is no message of a node."""
+    """Return limits; raises :class:`ValueError` if one is negative or not a number."""
     limits = tuple(NamedLimit(row.upstream, row.perS, row.agoMs / 1000) for row in rows)
     if not all(limit.per_s >= 0 for limit in limits):
-        raise ValueError("a limit that is none")
+        raise ValueError("limit is negative or not a number")
     return limits
 
 
@@ -125,7 +124,7 @@
 
 
 def encode_node_report(report: NodeReport) -> bytes:
-    """Return a node's report in its packed form."""
+    """Return the packed encoding of a node's report."""
     message = _schema.NodeReport.new_message(
         node=report.node,
         stopping=report.is_stopping,
@@ -144,7 +143,12 @@
 
 
 def decode_node_report(data: bytes) -> NodeReport:
-    """Return the report that ``data`` holds.
+    """Return a node's report decoded from ``data``.
+
+    Raises
+    ======
+
+    PeerError : if ``data`` is malformed.
 
     Examples
     ========
@@ -180,7 +184,7 @@
 
 
 def encode_totals(totals: Totals) -> bytes:
-    """Return the totals in the form in which they stand in every report."""
+    """Return the encoded totals, which are embedded in the report to each node."""
     message = _schema.Totals.new_message(
         token=totals.token,
         nodes=totals.nodes,
@@ -245,7 +249,7 @@
 
 
 def _unpack_held(message) -> tuple[HeldContent, ...]:
-    """Return the requests that are held; a node of an earlier release doesn't tell how long."""
+    """Return the held requests; earlier releases don't send the remaining times."""
     times_s = [ms / 1000 for ms in message.heldForMs]
     return held_contents(message.held, times_s)
 
@@ -260,7 +264,7 @@
     number: int = 0,
     permits: tuple[PermitCount, ...] = (),
 ) -> bytes:
-    """Return a report to one node around totals and a list that were encoded before.
+    """Return the encoded report to one node, given the encoded totals and upstream list.
 
     Examples
     ========
@@ -299,7 +303,7 @@
 
 
 def encode_list(change: ListChange) -> bytes:
-    """Return a whole list in the form in which it stands in reports."""
+    """Return the encoded upstream list, which is embedded in reports."""
     message = _schema.ListChange.new_message()
     _pack_change(message, change)
     return message.to_bytes_packed()
@@ -319,7 +323,13 @@
 
 
 def decode_coordinator_report(data: bytes) -> CoordinatorReport:
-    """Return the report that ``data`` holds."""
+    """Return the coordinator's report decoded from ``data``.
+
+    Raises
+    ======
+
+    PeerError : if ``data`` is malformed.
+    """
     try:
         message = _read(_schema.CoordinatorReport, data)
         changes = [_unpack_change(row) for row in message.changes]
--- a/mulleinreach/gateway/coordination/numbering.py
+++ b/mulleinreach/gateway/coordination/numbering.py
@@ -1,4 +1,4 @@
-"""Numbers of the nodes that report to a coordinator, by which they divide what is scarce."""
+"""Assigns a number to each node, by which the nodes divide the rate of cold upstreams."""
 
 from __future__ import annotations
 
@@ -7,19 +7,17 @@
 
 from mulleinreach.gateway.known.cold import NUMBER_HOLDS_S, WINDOW_S
 
-# Seconds between two changes of the numbers, and before the first ones of a term: those from
-# before the last change have lapsed, and requests sent by them count no more. A tenth is for
-# clocks that don't run alike.
+# By then previous numbers have expired, with requests sent under them; 0.1 s is for clock skew.
 RENUMBERING_INTERVAL_S = NUMBER_HOLDS_S + WINDOW_S + 0.1
 
 
 class NodeNumbers:
-    """The numbers of one term; the coordinator's own is 0.
+    """The node numbers of one term; the coordinator's own number is 0.
 
     Parameters
     ==========
 
-    begun_at : when the term began.
+    begun_at : start of the term.
 
     Examples
     ========
@@ -36,11 +34,11 @@
     def __init__(self, begun_at: float):
         self._changed_at = begun_at
         self._numbers: dict[Hashable, int] = {}
-        # One above the highest number; 0 before the first ones.
+        # One above the highest number; 0 before the first assignment.
         self.count = 0
 
     def update(self, members: Collection[Hashable], now: float) -> None:
-        """Number the members anew if they have changed and the last change is long ago."""
+        """Renumber if the members have changed and the renumbering interval has passed."""
         is_same = self.count > 0 and self._numbers.keys() == set(members)
         if is_same or now - self._changed_at < RENUMBERING_INTERVAL_S:
             return
@@ -53,5 +51,5 @@
         self._changed_at = now
 
     def number_of(self, member: Hashable) -> int:
-        """Return a member's number; :attr:`count`, which is nobody's, if it has none."""
+        """Return a member's number; :attr:`count`, which no member has, if none is assigned."""
         return self._numbers.get(member, self.count)
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -1,4 +1,4 @@
-"""What this node reports of itself, and when it sent each report."""
+"""Creates this node's reports, and records when each of them was sent."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from mulleinreach.gateway.deployment import GatewayIdentity
 from mulleinreach.gateway.known.load import LoadBook, LoadReport
 
-# For so long a new coordinator is told all that this node saw of upstreams that ended.
+# For this time a new coordinator gets all observations and limits, not only new ones.
 FULL_REPORT_PERIOD_S = 1.0
-# A coordinator's answer may be late, but it names a report of the latest seconds.
+# Covers a few seconds of reports, since the coordinator's answers may be delayed.
 MAX_KEPT_REPORTS = 40
 
 
@@ -27,8 +27,7 @@
     Parameters
     ==========
 
-    sent_at : when it was sent.
-    loads : what it told of the load of upstreams.
+    loads : the load of upstreams in the report.
     """
 
     seq: int
@@ -37,12 +36,12 @@
 
 
 class OwnReports:
-    """The reports of this node, numbered from 1.
+    """This node's reports, with sequence numbers from 1.
 
     Parameters
     ==========
 
-    identity : who this node is, and where it stands.
+    identity : this node's name and hall.
     """
 
     def __init__(
@@ -62,11 +61,11 @@
         self._coordinator_token = lease.token
         self._coordinator_since = float("-inf")
         self._sent: deque[SentReport] = deque(maxlen=MAX_KEPT_REPORTS)
-        # Whether this node is about to end; its reports tell it from then on.
+        # Whether this node is stopping, which its reports announce.
         self.is_stopping = False
 
     def current(self) -> NodeReport:
-        """Return how things stand now, under the number of the latest report."""
+        """Return the current state with the sequence number of the latest report."""
         is_coordinator_new = self._is_coordinator_new()
         return NodeReport(
             self._identity.name,
@@ -83,19 +82,19 @@
         )
 
     def _is_coordinator_new(self) -> bool:
-        """Whether the coordinator is a new one, which has not heard what this node told before."""
+        """Whether the coordinator has changed recently and lacks this node's earlier reports."""
         now = self._clock.now()
         if self._coordinator_token != self._lease.token:
             self._coordinator_token, self._coordinator_since = self._lease.token, now
         return now - self._coordinator_since < FULL_REPORT_PERIOD_S
 
     def next(self) -> NodeReport:
-        """Return the next report, which is about to be sent."""
+        """Create the next report and record it as sent."""
         self._seq += 1
         report = self.current()
         self._sent.append(SentReport(self._seq, self._clock.now(), report.loads))
         return report
 
     def find_sent(self, seq: int) -> SentReport | None:
-        """Return a report that was sent, ``None`` if it is none of the latest ones."""
+        """Return a sent report by its number; ``None`` if it is no longer recorded."""
         return next((report for report in self._sent if report.seq == seq), None)
--- a/mulleinreach/gateway/coordination/passed_on.py
+++ b/mulleinreach/gateway/coordination/passed_on.py
@@ -1,4 +1,4 @@
-"""What a node must know, and take in, for nodes to tell each other about it."""
+"""Interface to the state that nodes exchange through the coordinator."""
 
 from __future__ import annotations
 
@@ -15,67 +15,67 @@
 
 
 class Knowledge(Protocol):
-    """What this node knows, to be passed on, and takes what is passed on to it."""
+    """Provides this node's state for reports, and applies the state in received reports."""
 
     def totals(self, token: int, nodes: int, loads: list[LoadReport]) -> Totals:
-        """Return what all nodes should know, heads included."""
+        """Return the totals to send to all nodes, as coordinator."""
 
     def changes_since(self, revision: int) -> list[ListChange] | None:
-        """Return the changes of the list after a revision, ``None`` if too many."""
+        """Return the list's changes after a revision; ``None`` if some are no longer stored."""
 
     def whole_list(self) -> ListChange | None:
-        """Return all upstreams of this node's list, ``None`` before the first one."""
+        """Return this node's upstream list; ``None`` before it has one."""
 
     def list_revision(self) -> int:
-        """Return the revision of this node's list; 0 before the first one."""
+        """Return the revision of this node's upstream list; 0 before it has one."""
 
     def configuration_version(self) -> int:
-        """Return the version in force at this node; 0 before the first one."""
+        """Return the version of this node's configuration; 0 before it has one."""
 
     def configuration_document(self) -> bytes:
-        """Return the configuration in force, in a form that other nodes can decode."""
+        """Return this node's encoded configuration."""
 
     def evidence_age_s(self) -> float:
-        """Return the age of the latest proof that operators have written nothing newer."""
+        """Return the time since the operators' rows were last verified to be current."""
 
     def operator_rows(self) -> OperatorRows | None:
-        """Return the operators' rows in the store, if this node has read them."""
+        """Return the operators' rows as this node last read them, if it has."""
 
     def confirm(self, rows: OperatorRows | None, asked_at: float) -> None:
-        """Take in that a write under the versions of these rows was done after ``asked_at``."""
+        """Record that a write sent at ``asked_at`` verified the versions of these rows."""
 
     async def read_changed_rows(self, rows: OperatorRows | None) -> None:
-        """Read the operators' rows, which have other versions, unless a wait has told it."""
+        """Read the operators' changed rows, unless newer ones than ``rows`` are known."""
 
     async def read_unconfirmed_rows(self) -> None:
-        """Read the operators' rows if renewals have not proved them for too long."""
+        """Read the operators' rows if renewals have not confirmed them recently."""
 
     def inheritance(self) -> HandoverState:
-        """Return what nodes that start should know."""
+        """Return the state to store with the lease for the next coordinator."""
 
     def apply_inheritance(self, inheritance: HandoverState) -> None:
-        """Take what an earlier coordinator knew."""
+        """Apply the state that a previous coordinator stored with the lease."""
 
     def sightings(self, includes_old: bool) -> list[RunObservation]:
-        """Return what this node saw of upstreams that ended under requests, lately or ever."""
+        """Return this node's recent or all observations of upstreams that ended under requests."""
 
     def merge_sightings(self, sightings: list[RunObservation]) -> None:
-        """Take what another node saw of upstreams that ended under requests."""
+        """Merge another node's observations of upstreams that ended under requests."""
 
     def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
-        """Return the limits of upstreams that the coordinator should know and hasn't told."""
+        """Return rate limits of upstreams that the coordinator hasn't reported."""
 
     def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
-        """Take what another node knows of the limits of upstreams."""
+        """Merge rate limits of upstreams that another node reported."""
 
     def limits(self) -> dict[str, float]:
-        """Return the limits of upstreams that are in force, in requests a second."""
+        """Return the rate limits of upstreams in force, in requests per second."""
 
     def wanted_permits(self) -> tuple[PermitCount, ...]:
-        """Return the permits that this node has use for."""
+        """Return the permits that this node requests."""
 
     def note_store_failed(self) -> None:
-        """Note that the store has just failed to answer."""
+        """Record that the store has just failed to answer."""
 
     def take(self, report: CoordinatorReport, asked_at: float, own_loads: list[LoadReport]) -> None:
-        """Take a report that answers what this node had sent at ``asked_at``."""
+        """Apply a report that answers this node's report sent at ``asked_at``."""
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -1,4 +1,4 @@
-"""Gives out permits for requests to upstreams that bound those of all nodes together."""
+"""Allocates permits for requests to upstreams with a rate limit over all nodes."""
 
 from __future__ import annotations
 
@@ -10,12 +10,11 @@
 from mulleinreach.gateway.known.limits import bearable_per_s, permit_s
 from mulleinreach.gateway.known.permits import PermitCount
 
-# Permits that may gather while nobody wants them. With fewer, those are lost that become due
-# between two rounds of reports.
+# Capacity of a token bucket; enough for the permits that accrue between two reports.
 BURST_PERMITS = 2.0
-# Seconds of an upstream's rate that may gather, where that is more: a round of reports.
+# Capacity in seconds of the upstream's rate, if that is more.
 BURST_S = 0.25
-# For clocks that don't run alike.
+# Allows for differences in clock rate between nodes.
 CLOCK_SKEW_MARGIN_S = 0.1
 
 Node = TypeVar("Node", bound=Hashable)
@@ -23,12 +22,12 @@
 
 @dataclass
 class _TokenBucket:
-    """What may be given out for one upstream.
+    """Permits available for one upstream.
 
     Parameters
     ==========
 
-    credits : by node, how much it was passed over, as in smooth weighted round robin.
+    credits : weight of each node in the smooth weighted round robin.
     """
 
     balance: float
@@ -37,20 +36,20 @@
 
 
 class PermitAllocator:
-    """Divides each upstream's limit among the nodes by what they want, for one term.
+    """Divides each upstream's rate limit among the nodes by demand, for one term.
 
     Explanation
     ===========
 
-    Permits are drawn from a token bucket. Within any time of T seconds no more are spent than
-    ``limit * (T + permit_s(limit)) + max(BURST_PERMITS, BURST_S * limit)``, whatever becomes of
-    messages.
+    Permits are taken from a token bucket. Within any T seconds the nodes send at most
+    ``limit * (T + permit_s(limit)) + max(BURST_PERMITS, BURST_S * limit)`` requests, even if
+    messages are lost or late.
 
     Parameters
     ==========
 
-    begun_at : when the term began. Permits of an earlier coordinator have lapsed before the
-        first ones are given out.
+    begun_at : start of the term. No permits are granted until those of the previous coordinator
+        have expired.
 
     Examples
     ========
@@ -73,13 +72,13 @@
         limits: Mapping[str, float],
         now: float,
     ) -> dict[Node, list[PermitCount]]:
-        """Return the permits that each node gets now.
+        """Return the permits granted to each node now.
 
         Parameters
         ==========
 
-        wanted : what each node asks for, beside the permits that it holds.
-        limits : of upstreams, in requests a second.
+        wanted : the permits that each node requests in addition to those that it holds.
+        limits : rate limit of each upstream, in requests per second.
         """
         self._buckets = {u: a for u, a in self._buckets.items() if u in limits}
         wants_by_upstream: dict[str, dict[Node, int]] = defaultdict(dict)
@@ -99,7 +98,7 @@
     def _allocate_one(
         self, upstream_id: str, per_s: float, wants: dict[Node, int], now: float
     ) -> dict[Node, int]:
-        """Return how many permits for one upstream each node gets."""
+        """Return the number of permits granted to each node for one upstream."""
         bucket = self._buckets.setdefault(upstream_id, _TokenBucket(1.0, now))
         accrued = bucket.balance + (now - bucket.updated_at) * per_s
         bucket.balance, bucket.updated_at = min(accrued, max(BURST_PERMITS, BURST_S * per_s)), now
@@ -116,7 +115,7 @@
 
 
 def _pick_node(credit: dict[Hashable, float], wants: Mapping[Node, int]) -> Node:
-    """Return whose turn it is: each gets its part, by what it wants."""
+    """Return the node that gets the next permit, by smooth weighted round robin."""
     for node, count in wants.items():
         credit[node] = credit.get(node, 0.0) + count
     chosen = max(wants, key=lambda node: credit[node])
--- a/mulleinreach/gateway/coordination/reports.py
+++ b/mulleinreach/gateway/coordination/reports.py
@@ -1,4 +1,4 @@
-"""What a node and its coordinator report to each other."""
+"""Reports exchanged between the nodes and the coordinator."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 @dataclass(frozen=True)
 class NodeReport:
-    """What a node has in flight, and how far its list and its configuration go.
+    """A node's report to the coordinator: its load, and the versions of its data.
 
     Parameters
     ==========
 
-    secret : what the row of the lease tells; a coordinator closes connections without its own.
-    seq : the report's number, by which the answer names it.
-    successor : told by a new coordinator to the one that it replaces.
+    secret : the secret in the lease's row, without which the coordinator rejects the report.
+    seq : sequence number of the report, which the coordinator's answer echoes.
+    successor : set only in the notice of a new coordinator to the one that it replaces.
     hall : the hall of the node.
-    sightings : what the node saw of upstreams that end under requests.
-    limits : what it knows of upstreams' limits and wasn't told by the coordinator.
-    wanted : the permits that it has use for.
+    sightings : observations of upstreams that ended while they ran a request.
+    limits : upstreams' rate limits that the node knows and the coordinator hasn't reported.
+    wanted : numbers of permits that the node requests, by upstream.
     """
 
     node: str
@@ -45,7 +45,13 @@
 
 @dataclass(frozen=True)
 class OpenHead:
-    """A group that the coordinator saw open."""
+    """The head of a group that the coordinator observed as open.
+
+    Parameters
+    ==========
+
+    pace : how many times longer than usual its requests take.
+    """
 
     upstream_id: str
     group: str
@@ -56,29 +62,30 @@
 
 @dataclass(frozen=True)
 class Totals:
-    """What the coordinator knows, the same for all nodes.
+    """The part of the coordinator's reports that is the same for all nodes.
 
     Parameters
     ==========
 
-    token : of the coordinator's lease.
-    nodes : how many there are.
-    loads : of all nodes together.
-    heads : the open groups; ``None`` where they are as they were told last.
-    lost : ids of upstreams that were found to give no answer.
-    configuration_age_s, list_age_s : the age of the coordinator's evidence.
-    resignation : its word that it gives no more orders, if it can't renew its lease.
-    retiring : ids of heads that finish their work and take nothing new.
+    token : fencing token of the coordinator's lease.
+    nodes : number of nodes, the coordinator included.
+    loads : load of each upstream, summed over all nodes.
+    heads : heads of the open groups; ``None`` if unchanged since last sent.
+    lost : ids of upstreams that don't respond.
+    configuration_age_s, list_age_s : time since the coordinator last verified each of them.
+    resignation : set while the coordinator can't renew its lease and gives no orders.
+    retiring : ids of heads that finish their requests and accept no new ones.
     is_store_unavailable : whether no node that reports to the coordinator can read the store.
-    successor : the node that has replaced it, if one has.
-    keeps_removed : whether the store was away, so that upstreams that it misses may be back soon.
-    evacuated : the halls that are to be empty.
+    successor : the coordinator that has replaced this one, if any.
+    keeps_removed : whether nodes keep upstreams that are missing from the store, since it was
+        unavailable recently.
+    evacuated : halls that operators have ordered to be emptied.
     operator_revision : the store's revision up to which ``evacuated`` is known.
-    numbers : one above the highest number that a node has; 0 if the numbers don't hold.
-    held : the requests that end the upstreams which run them; ``None`` where they are as they
-        were told last.
-    limits : of upstreams, those that ended lately included; ``None`` where they are as they were
-        told last.
+    numbers : one above the highest node number; 0 if the node numbers are not valid.
+    held : requests that are not sent any more, since they end the upstreams which run them;
+        ``None`` if unchanged since last sent.
+    limits : rate limits of upstreams, recently ended limits included; ``None`` if unchanged since
+        last sent.
     """
 
     token: int
@@ -104,20 +111,19 @@
 
 @dataclass(frozen=True)
 class CoordinatorReport:
-    """What one node is told.
+    """The coordinator's report to one node.
 
     Parameters
     ==========
 
-    echoed_seq : the number of the node's report that is answered.
-    changes : those of the list of upstreams, from what the node was sent before.
-    is_list_unknown : whether they are left out, since the coordinator doesn't remember so far
-        back; the node reads the list itself.
-    configuration : the document of the newest one, if the node lacks that.
+    echoed_seq : sequence number of the node's report that this one answers.
+    changes : changes of the upstream list since those that the node was sent before.
+    is_list_unknown : whether the coordinator no longer has these changes, so that the node has to
+        read the list from the store.
+    configuration : the encoded newest configuration, if the node lacks it.
     whole_list : all upstreams, if the node has no list yet.
-    number : the node's own among all that report to this coordinator, whose own one is 0; a
-        node that has none yet is told ``totals.numbers``.
-    permits : for requests to upstreams with a limit; each report gives out others.
+    number : the node's number, 0 for the coordinator; ``totals.numbers`` if none is assigned yet.
+    permits : newly granted permits for requests to upstreams with a rate limit.
     """
 
     echoed_seq: int
--- a/mulleinreach/gateway/coordination/totals.py
+++ b/mulleinreach/gateway/coordination/totals.py
@@ -1,4 +1,4 @@
-"""Makes what all nodes are told: adds up their loads, and leaves out what they know already."""
+"""Sums the loads of all nodes, and omits unchanged values from the totals sent to them."""
 
 from __future__ import annotations
 
@@ -7,13 +7,12 @@
 from mulleinreach.gateway.coordination.reports import NodeReport, Totals
 from mulleinreach.gateway.known.load import LoadReport
 
-# One report in so many names open heads and held requests even if they are as they were told last:
-# a node that has just come has missed that.
+# Unchanged values are sent again in every such round, for nodes that have joined since.
 FULL_TOTALS_INTERVAL_ROUNDS = 10
 
 
 class SendOnChange:
-    """Decides when a value is told: when it has changed, and now and then all the same.
+    """Decides when to send a value: when it has changed, and in every full round.
 
     Parameters
     ==========
@@ -25,7 +24,7 @@
         self._last_sent = last_sent
 
     def is_due(self, value: object, is_full_round: bool) -> bool:
-        """Whether to tell a value now, which then counts as told."""
+        """Whether to send a value now; if so, it is recorded as sent."""
         if value == self._last_sent and not is_full_round:
             return False
         self._last_sent = value
@@ -33,11 +32,11 @@
 
 
 class TotalsCompactor:
-    """Leaves out of totals what all nodes know already, or have no use for."""
+    """Omits from totals what all nodes already have, and loads of idle upstreams."""
 
     def __init__(self) -> None:
         self._round = 0
-        # A coordinator that has just begun knows of no heads yet; nodes keep those that they know.
+        # Empty, so that nodes keep their heads until a new coordinator has found some.
         self._heads = SendOnChange([])
         self._held = SendOnChange(set())
         self._limits = SendOnChange(set())
@@ -46,7 +45,7 @@
         """Return the totals to send in the next round."""
         self._round += 1
         is_full_round = self._round % FULL_TOTALS_INTERVAL_ROUNDS == 0
-        # The times that remain to what is held change all the while.
+        # Without the remaining times and ages, which change constantly.
         contents = {held.content for held in totals.held or ()}
         limits = {(limit.upstream_id, limit.per_s) for limit in totals.limits or ()}
         return replace(
@@ -59,7 +58,7 @@
 
 
 def sum_loads(reports: list[NodeReport]) -> list[LoadReport]:
-    """Return the load of several nodes together, one report an upstream.
+    """Return the load of each upstream, summed over several nodes.
 
     Examples
     ========
