--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -1,4 +1,4 @@
-"""Nodes and a coordinator that keep one upstream's limit, on a clock that a test moves."""
+"""Test harness: nodes and a coordinator that share one upstream's rate limit."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class LimitHarness:
-    """Nodes that send to one upstream with a limit, and the coordinator that they hear."""
+    """Simulates nodes that send to one upstream, and their coordinator, on a manual clock."""
 
     def __init__(self, nodes: int, limit: float):
         self.clock = ManualClock()
@@ -29,23 +29,23 @@
             self.report_limit(number, limit)
 
     def make_node(self, seed: int) -> SendPermits:
-        """Return a node that knows the upstream and no limit of it."""
+        """Return a node that knows the upstream but not its limit."""
         directory = UpstreamDirectory()
         directory.replace_all(1, [UPSTREAM], self.clock.now())
         book = LimitBook(directory, self.clock, NullLog())
         return SendPermits(book, self.clock, random.Random(seed))
 
     def report_limit(self, number: int, limit: float) -> None:
-        """Let an answer of the upstream name its limit to a node."""
+        """Report the upstream's limit to a node, as in a response of the upstream."""
         self.nodes[number].limits.take(UPSTREAM.id, limit)
 
     def restart_node(self, number: int) -> None:
-        """Let a node start again, which an answer has told the limit."""
+        """Replace a node by a restarted one that knows the limit."""
         self.nodes[number] = self.make_node(number)
         self.report_limit(number, self.limit)
 
     def send_if_permitted(self, number: int) -> bool:
-        """Let a node send a request if it may, else elsewhere; returns whether it did."""
+        """Send a request from a node if it is permitted; returns whether it was sent."""
         node = self.nodes[number]
         node.demand.note_asked(UPSTREAM.id)
         if self._send_if_allowed(node):
@@ -61,7 +61,7 @@
         return True
 
     def send_or_wait(self, number: int) -> None:
-        """Let a node send a request now, or after the coordinator's next answer, if it may."""
+        """Send a request from a node now, or else after the coordinator's next answer."""
         node = self.nodes[number]
         node.demand.note_asked(UPSTREAM.id)
         if self._send_if_allowed(node):
@@ -73,13 +73,13 @@
     def allocate(
         self, reachable: set[int], lost: frozenset[int] = frozenset(), report_age_s: float = 0
     ) -> None:
-        """Have the coordinator give permits to the nodes that it hears.
+        """Allocate permits to the nodes that reach the coordinator.
 
         Parameters
         ==========
 
-        lost : nodes that the answer doesn't reach.
-        report_age_s : how long ago the reports were sent that it answers.
+        lost : nodes whose answer is lost.
+        report_age_s : time since the answered reports were sent.
         """
         now = self.clock.now()
         wanted = {number: self.nodes[number].wanted() for number in sorted(reachable)}
--- a/mulleinreach/gateway/coordination/tests/test_fences.py
+++ b/mulleinreach/gateway/coordination/tests/test_fences.py
@@ -1,4 +1,4 @@
-"""An engine refuses orders of a coordinator that was replaced, and that ends its duty."""
+"""Engines refuse the orders of a replaced coordinator, and the refusal ends its term."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 async def partition_coordinator(world):
-    """Let one node sleep past its lease, and think that it still holds it.
+    """Isolate the coordinator until it is replaced, then make it believe that it holds the lease.
 
-    Returns that node and the one that has taken its place.
+    Returns the stale coordinator and its successor.
     """
     name = world.coordinator()
     stale_coordinator = world.nodes[name]
@@ -32,7 +32,7 @@
 
 
 def open_group(node):
-    """Return a group that serves, as a node knows it."""
+    """Return a serving group known to a node."""
     head = node.chooser.heads(MODEL_SERVICE, LARGE)[0]
     return collect_groups(node.directory.of_service(MODEL_SERVICE))[head.group, head.epoch]
 
@@ -56,7 +56,7 @@
         assert not stale_coordinator.lease.is_held()
         await asyncio.sleep(3)
         assert not stale_coordinator.lease.is_held()
-        # The refused order, and no other one under that token.
+        # Only the refused order was sent with that token.
         assert len(orders) == orders_before + 1
 
     run_world(test, nodes=3, domains=1)
@@ -69,7 +69,7 @@
         holder.lease.mark_fenced()
         assert await holder.lease.renew() is RenewalOutcome.LOST
         assert not holder.lease.is_held()
-        # The row lapses, and a new term begins under a higher token.
+        # The lease expires, and a new term begins with a higher token.
         token = holder.lease.token
         await world.until(lambda: world.coordinator() is not None)
         assert world.nodes[world.coordinator()].lease.token > token
--- a/mulleinreach/gateway/coordination/tests/test_frames.py
+++ b/mulleinreach/gateway/coordination/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Messages between nodes come through whole, small when repeated, and never without bound."""
+"""Frames arrive complete and compressed, and malformed or oversized ones are rejected."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _Pipe:
-    """A writer whose bytes a reader gets."""
+    """A writer that feeds a stream reader."""
 
     def __init__(self) -> None:
         self.reader = asyncio.StreamReader(limit=2**24)
--- a/mulleinreach/gateway/coordination/tests/test_late_writes.py
+++ b/mulleinreach/gateway/coordination/tests/test_late_writes.py
@@ -1,4 +1,4 @@
-"""Writes of the lease that the store carries out seconds later make no second coordinator."""
+"""Lease writes that the store applies late never result in two coordinators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE
 
-# What a renewal may take once answers come again, beside a lease that has to lapse.
+# Time for a renewal once the store responds, in addition to the expiry of the lease.
 REELECTION_S = 2.0
 
 
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -1,4 +1,4 @@
-"""Requests within a limit over all nodes, whatever becomes of nodes, coordinators and messages."""
+"""Requests stay within a limit over all nodes despite failures, restarts and lost messages."""
 
 from __future__ import annotations
 
@@ -15,17 +15,16 @@
 from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
 
 ROUND_S = 0.1
-# So much of a limit is to be used where there are requests enough; of a low one a permit that
-# lapses is a larger part.
+# Share of a limit that has to be used; lower for low limits, where expired permits weigh more.
 MIN_USED_SHARE, MIN_USED_SHARE_OF_LOW = 0.85, 0.7
 LOW_LIMIT_PER_S = 2.0
 NODES = st.integers(0, 5)
-# How long the lease of a coordinator that fell silent still keeps others from it.
+# Remaining lease of a coordinator that has stopped responding.
 REMAINING_LEASE_S = 1.6
 
 
 def min_expected_rate(limit: float) -> float:
-    """Return how many requests a second should be sent under a limit."""
+    """Return the minimum number of requests per second expected under a limit."""
     return limit * (MIN_USED_SHARE_OF_LOW if limit <= LOW_LIMIT_PER_S else MIN_USED_SHARE)
 
 
@@ -39,7 +38,7 @@
     began_at = harness.clock.now()
     while harness.clock.now() < began_at + 60:
         for number in senders:
-            # Two requests a second at each node, and three times the limit at least.
+            # At least two requests per second at each node, and three times the limit in total.
             requests_per_round = ROUND_S * max(2, 3 * limit / len(senders))
             for _ in range(int(requests_per_round) + (rng.random() < requests_per_round % 1)):
                 harness.send_if_permitted(number)
@@ -93,7 +92,7 @@
 
 
 class SharedLimit(RuleBasedStateMachine):
-    """Nodes are cut off and start again, coordinators are replaced, messages are lost and late."""
+    """Checks a limit while nodes, coordinators and messages fail in any order."""
 
     @initialize(limit=st.sampled_from([0.5, 1.1, 2.1, 6.0, 30.0]))
     def begin(self, limit):
@@ -134,7 +133,7 @@
 
     @rule()
     def coordinator_is_replaced(self):
-        """Its lease lapses first; the next one begins to give permits later still."""
+        """The lease expires first, then the new coordinator waits for permits to expire."""
         self.coordinator_silent_until = self.harness.clock.now() + REMAINING_LEASE_S
         self.harness.allocator = PermitAllocator(self.coordinator_silent_until)
 
--- a/mulleinreach/gateway/coordination/tests/test_restored_lease.py
+++ b/mulleinreach/gateway/coordination/tests/test_restored_lease.py
@@ -1,4 +1,4 @@
-"""Two nodes never hold the lease at once, whatever a restored store shows of its row."""
+"""Two nodes never hold the lease at once after a restore of the store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from mulleinreach.standins.virtual import run_virtual
 
 LAPSED_S = 1.1 * LEASE_DURATION_S
-# The next renewal, and one more after a look at the row.
+# Time for a renewal, a read of the row and another renewal.
 REELECTION_S = 1.0
 
 
@@ -33,7 +33,7 @@
 
 
 async def _take_over(store: MemoryStore, holder: str) -> CoordinatorLease:
-    """Return a lease that a node has taken once it saw the row unchanged for long enough."""
+    """Return a lease that a node has acquired after the previous one expired."""
     lease = make_lease(store, holder)
     await lease.read_state()
     await asyncio.sleep(LAPSED_S)
@@ -43,7 +43,7 @@
 
 
 async def _lose_takeover_in_restore(store: MemoryStore) -> CoordinatorLease:
-    """Return a lease that was taken over, and whose row a restore has lost right after."""
+    """Return a lease that was acquired, and whose row was then lost in a restore."""
     copy = store.copy()
     later = await _take_over(store, "b.1")
     store.restore(copy)
@@ -51,7 +51,7 @@
 
 
 async def _assert_never_both_hold(first: CoordinatorLease, second: CoordinatorLease, act) -> None:
-    """Let a node act again and again, as long as the other one may believe that it holds."""
+    """Repeat an action until any lease has expired, checking that only one node holds it."""
     for _ in range(int(LAPSED_S / 0.05)):
         await act()
         assert not (first.is_held() and second.is_held())
@@ -175,7 +175,7 @@
 
 
 async def watch_holders(world) -> None:
-    """Check for ever that one node at most may give orders."""
+    """Check until cancelled that at most one node holds the lease."""
     while True:
         holders = [name for name, node in world.nodes.items() if node.lease.is_held()]
         assert len(holders) <= 1, holders
--- a/mulleinreach/gateway/coordination/tests/test_sharing.py
+++ b/mulleinreach/gateway/coordination/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Metrics of a node, and what nodes tell each other of their load."""
+"""Nodes serve metrics and share their load."""
 
 from __future__ import annotations
 
--- a/mulleinreach/gateway/coordination/tests/test_silent_connections.py
+++ b/mulleinreach/gateway/coordination/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that fall silent without a reset are given up, and new ones take their place."""
+"""Connections that stop responding without a reset are closed and replaced."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import LARGE, SMALL, make_configuration
 
-# A silent connection is given up, a new one is made, and its first report is answered.
+# Time to close a silent connection, reconnect and receive a report.
 REJOIN_S = REPORT_TIMEOUT_S + 0.5
 
 
@@ -80,7 +80,7 @@
         silent_at = world.clock.now()
         answers = await asyncio.gather(*requests)
         assert all(len(answer.event_ids) == 60 for answer in answers)
-        # What was left of the stream, and the time until the silence was noticed.
+        # The rest of the stream, and the time to detect the silent connection.
         assert world.clock.now() - silent_at < 2.0 + 2.0
 
     run_world(test, nodes=2)
--- a/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
+++ b/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
@@ -1,4 +1,4 @@
-"""Messages that can't be read end a connection, and nothing else."""
+"""Malformed messages raise only :class:`PeerError`, which closes the connection."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def read(decode, data: bytes) -> None:
-    """Decode a message, which may be refused."""
+    """Decode a message; only :class:`PeerError` is expected."""
     try:
         decode(data)
     except PeerError:
--- a/mulleinreach/gateway/coordination/tests/test_successor.py
+++ b/mulleinreach/gateway/coordination/tests/test_successor.py
@@ -1,4 +1,4 @@
-"""Nodes that the store turns away hear who has replaced their coordinator."""
+"""Nodes without access to the store are notified of the coordinator's successor."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def block_store_access_of_half(world) -> list[str]:
-    """Have the store refuse half of the nodes, the coordinator among them; returns them."""
+    """Block store access for half of the nodes, the coordinator included; returns them."""
     coordinator = world.coordinator()
     others = [name for name in world.nodes if name != coordinator]
     without_store = [coordinator, *others[: NODES // 2 - 1]]
