--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -265,7 +265,7 @@
         """Return the nodes that reported recently, connected or not, this node first."""
         now = self._clock.now()
         self._received = {
-            n: h for n, h in self._received.items() if now - h.received_at <= RECENT_NODE_TTL_S
+            n: r for n, r in self._received.items() if now - r.received_at <= RECENT_NODE_TTL_S
         }
         others = [RecentNode(r.report, now - r.received_at) for r in self._received.values()]
         return [RecentNode(self._own_report(), 0.0), *others]
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -80,7 +80,7 @@
         wanted : the permits that each node requests in addition to those that it holds.
         limits : rate limit of each upstream, in requests per second.
         """
-        self._buckets = {u: a for u, a in self._buckets.items() if u in limits}
+        self._buckets = {u: b for u, b in self._buckets.items() if u in limits}
         wants_by_upstream: dict[str, dict[Node, int]] = defaultdict(dict)
         for node, wants in wanted.items():
             for want in wants:
