--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -5,10 +5,11 @@
 
 The holder measures the lease on a monotonic clock, from before it sent the last renewal. Another
 node may acquire the lease once the row has not changed for longer than the lease duration, or at
-once if the holder's process has ended. Each change of holder increments the fencing token.
+once if the holder's process has ended. Each change of holder increments the fencing token, with
+which epochs of groups begin, so hosts refuse orders of an earlier holder.
 
 A restored store may show the row of an earlier holder. A node that detects a restore while it does
-not hold the lease gives no orders until any lease that the restore lost has expired.
+not hold the lease may acquire it, but gives no orders until any lost lease has expired.
 """
 
 from __future__ import annotations
@@ -37,6 +38,7 @@
 # Time left on the lease right before a renewal, if the previous renewals were on time.
 MIN_FRESH_REMAINING_S = 1.1
 SECRET_BYTES = 16
+# Maximum relative difference between the clock rates of nodes.
 CLOCK_RATE_MARGIN = 0.02
 # Exceeds the number of changes of holder that a restore can lose.
 RESTORE_TOKEN_INCREMENT = 100
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -102,8 +102,8 @@
     async def _coordinate_while_held(self, reporting: asyncio.Task) -> bool:
         """Run the coordinator's duty and renew the lease until it is lost or this node stops.
 
-        Returns whether to try to reacquire the lease: the last renewal's outcome is unknown, and
-        no other node is known to hold the lease.
+        Returns whether to try to reacquire the lease: it has expired, or the store is unavailable
+        while this node stops, and no other holder is known.
         """
         duty = asyncio.create_task(self._coordinate())
         fenced = asyncio.create_task(self._lease.fenced.wait())
