--- a/mulleinreach/gateway/coordination/follower.py
+++ b/mulleinreach/gateway/coordination/follower.py
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.coordination.frames import FrameReader, FrameWriter, PeerError
 from mulleinreach.gateway.coordination.hub import (
     MAX_BUFFERED_BYTES,
-    SILENCE_S,
+    REPORT_TIMEOUT_S,
     report_interval_s,
 )
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, Resignation
@@ -23,43 +23,43 @@
 from mulleinreach.gateway.coordination.reports import (
     CoordinatorReport,
 )
-from mulleinreach.gateway.coordination.succession import CONNECT_S
+from mulleinreach.gateway.coordination.succession import CONNECT_TIMEOUT_S
 
-# Evidence that is younger shows that this node reads the store itself.
-OWN_EVIDENCE_S = 0.9
+# Newer evidence shows that this node can read the store itself.
+MAX_OWN_EVIDENCE_AGE_S = 0.9
 
 
-class EndReason(enum.Enum):
-    """Why following a coordinator came to its end."""
+class FollowEndReason(enum.Enum):
+    """Why a node stopped following a coordinator."""
 
-    # Its machine refused the connection.
+    # The connection was refused.
     PROCESS_GONE = enum.auto()
-    # No report ever came.
-    UNREACHED = enum.auto()
-    # Its reports came, and come no more.
-    LOST = enum.auto()
-    # It can't renew its lease, and this node can read the store.
+    # No report was received.
+    UNREACHABLE = enum.auto()
+    # The connection failed or timed out after at least one report.
+    CONNECTION_LOST = enum.auto()
+    # The coordinator can't renew its lease, and this node can read the store.
     RESIGNED = enum.auto()
-    # It told of its successor.
+    # The coordinator announced its successor.
     REPLACED = enum.auto()
 
 
 @dataclass(frozen=True)
-class FollowingEnded:
-    """The end of following a coordinator.
+class FollowEnd:
+    """Result of following a coordinator.
 
     Parameters
     ==========
 
-    resignation : the coordinator's word, if it has resigned.
+    resignation : the coordinator's resignation, if that is the reason.
     """
 
-    reason: EndReason
+    reason: FollowEndReason
     resignation: Resignation | None = None
 
 
 class Follower:
-    """Reports to the coordinator, and takes in what it tells."""
+    """Sends reports to the coordinator and applies the reports that it returns."""
 
     def __init__(
         self,
@@ -72,65 +72,69 @@
         self._network = network
         self._own_reports = own_reports
         self._knowledge = knowledge
-        # Whether a coordinator reports to this node.
+        # Whether this node receives a coordinator's reports.
         self.is_following = False
-        # How many nodes there are, as the latest coordinator told.
+        # Number of nodes, from the latest coordinator report.
         self.node_count = 1
 
-    async def follow(self, address: Address) -> FollowingEnded:
-        """Follow the coordinator at an address until that comes to an end."""
+    async def follow(self, address: Address) -> FollowEnd:
+        """Follow the coordinator at an address until the connection or its term ends."""
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await self._network.connect(address)
         except ConnectionRefusedError:
-            return FollowingEnded(EndReason.PROCESS_GONE)
+            return FollowEnd(FollowEndReason.PROCESS_GONE)
         except (OSError, TimeoutError):
-            return FollowingEnded(EndReason.UNREACHED)
+            return FollowEnd(FollowEndReason.UNREACHABLE)
         sending = asyncio.create_task(self._send_reports(FrameWriter(writer)))
         try:
-            return await self._take_reports(FrameReader(reader))
+            return await self._receive_reports(FrameReader(reader))
         finally:
             self.is_following = False
             sending.cancel()
             writer.close()
 
-    async def _take_reports(self, frames: FrameReader) -> FollowingEnded:
-        """Take the coordinator's reports until it falls silent, resigns or is replaced."""
+    async def _receive_reports(self, frames: FrameReader) -> FollowEnd:
+        """Receive reports until the coordinator times out, resigns or is replaced."""
         try:
             while True:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(REPORT_TIMEOUT_S):
                     report = decode_coordinator_report(await frames.read())
                 self.is_following = True
                 self.node_count = report.totals.nodes
-                self._take(report)
+                self._apply(report)
                 if self._is_replaced(report):
                     self._lease.adopt(report.totals.successor)
-                    return FollowingEnded(EndReason.REPLACED)
+                    return FollowEnd(FollowEndReason.REPLACED)
                 if self._can_replace(report):
-                    return FollowingEnded(EndReason.RESIGNED, report.totals.resignation)
+                    return FollowEnd(FollowEndReason.RESIGNED, report.totals.resignation)
         except (PeerError, OSError, TimeoutError):
-            return FollowingEnded(EndReason.LOST if self.is_following else EndReason.UNREACHED)
-
-    def _take(self, report: CoordinatorReport) -> None:
-        """Take a report; what it tells is no older than what it answers."""
-        answered = self._own_reports.sent(report.echoed_seq)
+            return FollowEnd(
+                FollowEndReason.CONNECTION_LOST
+                if self.is_following
+                else FollowEndReason.UNREACHABLE
+            )
+
+    def _apply(self, report: CoordinatorReport) -> None:
+        """Apply a report, dated from when the node's own report that it answers was sent."""
+        answered = self._own_reports.find_sent(report.echoed_seq)
         if answered is not None:
-            self._knowledge.take(report, answered.at, answered.loads)
+            self._knowledge.take(report, answered.sent_at, answered.loads)
 
     def _is_replaced(self, report: CoordinatorReport) -> bool:
-        """Whether the coordinator tells of a later one."""
+        """Whether the report announces a coordinator with a higher token."""
         successor = report.totals.successor
         return successor is not None and successor.token > self._lease.token
 
     def _can_replace(self, report: CoordinatorReport) -> bool:
-        """Whether the coordinator has resigned for want of a store that we can read."""
+        """Whether the coordinator has resigned and this node can read the store."""
         is_resigned = report.totals.resignation is not None
-        return is_resigned and self._knowledge.evidence_age_s() < OWN_EVIDENCE_S
+        return is_resigned and self._knowledge.evidence_age_s() < MAX_OWN_EVIDENCE_AGE_S
 
     async def _send_reports(self, writer: FrameWriter) -> None:
         while not writer.is_closing():
             report = self._own_reports.next()
-            # A report that finds the buffer full is left out; the next one replaces it.
+            # Skipped while the send buffer is full; the next report supersedes it.
             if writer.buffered_bytes() < MAX_BUFFERED_BYTES:
                 writer.write(encode_node_report(report))
             await asyncio.sleep(report_interval_s(self.node_count))
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -1,17 +1,15 @@
-"""The lease of the coordinator: one row, written under a condition on its version.
+"""The coordinator's lease: one row of the store, updated by compare-and-swap on its version.
 
 Explanation
 ===========
 
-Lease time is counted on the steady clock from before a renewal was sent. Another
-node takes the lease over once it has seen the row unchanged for longer than that,
-or once the holder's process is known to have ended. Each change of holder raises
-``token``; epochs of groups begin with it, so that an order of an earlier holder
-is refused by hosts that have seen one of a later holder.
+The holder measures the lease on a monotonic clock, from before it sent the last renewal. Another
+node may acquire the lease once the row has not changed for longer than the lease duration, or at
+once if the holder's process has ended. Each change of holder increments the fencing token, with
+which epochs of groups begin, so hosts refuse orders of an earlier holder.
 
-A store that was restored may show the row of an earlier holder, while a later one, whose row is
-lost, still counts its lease. So a node that didn't hold the lease when it hears of the restore
-may write the row, but gives no orders until such a lease would have lapsed.
+A restored store may show the row of an earlier holder. A node that detects a restore while it does
+not hold the lease may acquire it, but gives no orders until any lost lease has expired.
 """
 
 from __future__ import annotations
@@ -22,7 +20,7 @@
 from dataclasses import dataclass, replace
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import (
     LeaseConflict,
     LeaseRead,
@@ -35,50 +33,50 @@
 )
 from mulleinreach.gateway.revision import era_of
 
-LEASE_S = 2.0
-RENEW_S = 0.7
-# What is left of a lease at least right before a renewal, while the store answers in time.
-FRESH_S = 1.1
+LEASE_DURATION_S = 2.0
+RENEW_INTERVAL_S = 0.7
+# Time left on the lease right before a renewal, if the previous renewals were on time.
+MIN_FRESH_REMAINING_S = 1.1
 SECRET_BYTES = 16
+# Maximum relative difference between the clock rates of nodes.
 CLOCK_RATE_MARGIN = 0.02
-# How much tokens rise where a store was restored: more than holders can have changed within the
-# seconds that its copy lacks.
-LOST_TOKENS = 100
+# Exceeds the number of changes of holder that a restore can lose.
+RESTORE_TOKEN_INCREMENT = 100
 NEVER = float("-inf")
 
 
 class LeaseState(enum.Enum):
-    """What a look at the row showed."""
+    """Who holds the lease, as the last read of its row showed."""
 
-    OURS = enum.auto()
-    OTHERS = enum.auto()
+    HELD_BY_SELF = enum.auto()
+    HELD_BY_OTHER = enum.auto()
     FREE = enum.auto()
     UNKNOWN = enum.auto()
 
 
-class Renewal(enum.Enum):
-    """What came of an attempt to renew the lease.
+class RenewalOutcome(enum.Enum):
+    """Result of an attempt to renew the lease.
 
-    ``DONE_CHANGED``: renewed, but the configuration is not the one that was named.
-    ``DONE_BEFORE``: an earlier renewal, whose answer was lost, has been carried out.
-    ``UNKNOWN``: the store gave no answer, and the row may still be ours.
+    ``RENEWED_ROWS_CHANGED``: renewed, but the operators' rows have changed since they were read.
+    ``RENEWED_BY_EARLIER_WRITE``: an earlier renewal, whose response was lost, has been applied.
+    ``UNKNOWN``: the outcome is not previous_era, and this node may still hold the lease.
     """
 
-    DONE = enum.auto()
-    DONE_CHANGED = enum.auto()
-    DONE_BEFORE = enum.auto()
+    RENEWED = enum.auto()
+    RENEWED_ROWS_CHANGED = enum.auto()
+    RENEWED_BY_EARLIER_WRITE = enum.auto()
     UNKNOWN = enum.auto()
     LOST = enum.auto()
 
 
 @dataclass(frozen=True)
 class Resignation:
-    """A holder's word that it gives no orders unless it renews the row once more.
+    """Notice that the holder gives no orders until it renews the lease again.
 
     Parameters
     ==========
 
-    token, renewal : name the state of the row which the word is about.
+    token, renewal : the token and the renewal count of the row when the holder resigned.
     """
 
     token: int
@@ -87,13 +85,13 @@
 
 @dataclass(frozen=True)
 class Successor:
-    """A holder of the lease, as the nodes tell each other that can't read the row.
+    """The new holder of the lease, sent between nodes when some of them can't read the row.
 
     Parameters
     ==========
 
-    address : where other nodes reach it.
-    secret : what reports to it have to show.
+    address : the address on which it accepts reports.
+    secret : the secret that reports to it must contain.
     """
 
     token: int
@@ -107,9 +105,9 @@
     Parameters
     ==========
 
-    holder : names this life of the process, as ``NODE.INCARNATION``.
-    address : where other nodes reach it.
-    is_first_start : whether nobody has held the lease before this process started.
+    holder : id of this process as a holder, in the form ``NODE.INCARNATION``.
+    address : the address on which other nodes reach this node.
+    is_first_start : whether no node held the lease before this process started.
     """
 
     def __init__(
@@ -130,122 +128,130 @@
         self._version = 0
         self._version_seen_at = NEVER
         self._held_until = NEVER
-        # The store's era, as it was read last.
+        # The store's era, which each restore increments, as last read.
         self._era: int | None = None
         self._others_may_hold_until = NEVER
         self.record: LeaseRecord | None = None
-        # Tokens rise even if the row is lost or spoilt: hosts remember the highest one.
+        # Kept apart from the row, so that tokens increase even if the row is lost or unreadable.
         self._highest_token = 0
-        # When the renewal that has had no answer was first sent, and its number.
+        # RenewalOutcome count and first send time of the renewal whose outcome is unknown.
         self._unanswered: tuple[int, float] | None = None
-        # Set while a host is known to have orders of a later holder.
+        # Set when a host refuses an order because of a higher token; cleared on acquiring.
         self.fenced = asyncio.Event()
 
     @property
     def token(self) -> int:
-        """The token of the latest holder known."""
+        """The token of the latest known holder."""
         return self.record.token if self.record else 0
 
     @property
     def secret(self) -> str:
-        """The secret of the latest holder known."""
+        """The secret of the latest known holder."""
         return self.record.secret if self.record else ""
 
     def is_held(self) -> bool:
-        """Whether this node may give orders at this moment."""
+        """Whether this node holds the lease and may give orders now."""
         now = self._clock.now()
-        is_alone = now >= self._others_may_hold_until
-        return not self.fenced.is_set() and is_alone and now < self._held_until
+        is_sole_holder = now >= self._others_may_hold_until
+        return not self.fenced.is_set() and is_sole_holder and now < self._held_until
 
     def is_fresh(self) -> bool:
-        """Whether the latest renewal was done in time, so that the store can be written."""
-        return self.is_held() and self._held_until - self._clock.now() >= FRESH_S
+        """Whether the latest renewal was on time, which shows that the store accepts writes."""
+        return self.is_held() and self._held_until - self._clock.now() >= MIN_FRESH_REMAINING_S
 
-    async def look(self) -> LeaseState:
-        """Read the row."""
+    async def read_state(self) -> LeaseState:
+        """Read the row and return who holds the lease."""
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return LeaseState.UNKNOWN
-        self._take(result)
-        if result.record is None or self._has_lapsed() or self._is_earlier_life(result.record):
+        self._update_from_read(result)
+        if (
+            result.record is None
+            or self._has_expired()
+            or self._is_earlier_incarnation(result.record)
+        ):
             return LeaseState.FREE
         if result.record.holder == self._holder:
-            return LeaseState.OURS if self.is_held() else LeaseState.FREE
-        return LeaseState.OTHERS
+            return LeaseState.HELD_BY_SELF if self.is_held() else LeaseState.FREE
+        return LeaseState.HELD_BY_OTHER
 
-    def _take(self, result: LeaseRead) -> None:
+    def _update_from_read(self, result: LeaseRead) -> None:
         if result.version != self._version or self.record is None:
             self._version = result.version
             self._version_seen_at = self._clock.now()
         self.record = result.record
         self._highest_token = max(self._highest_token, self.token)
-        self._look_for_restore(result)
-
-    def _look_for_restore(self, result: LeaseRead) -> None:
-        """Wait for leases to lapse whose rows may be lost, if the store was restored."""
-        known, self._era = self._era, result.era
-        is_restored = self._may_lack_holder(result) if known is None else known < result.era
+        self._detect_restore(result)
+
+    def _detect_restore(self, result: LeaseRead) -> None:
+        """If the store was restored, wait until any lease that the restore lost has expired."""
+        previous_era, self._era = self._era, result.era
+        is_restored = (
+            self._may_have_lost_holder(result)
+            if previous_era is None
+            else previous_era < result.era
+        )
         if not is_restored or self.is_held():
             return
-        self._others_may_hold_until = self._clock.now() + LEASE_S * (1 + CLOCK_RATE_MARGIN)
-        self._highest_token += LOST_TOKENS
+        self._others_may_hold_until = self._clock.now() + LEASE_DURATION_S * (1 + CLOCK_RATE_MARGIN)
+        self._highest_token += RESTORE_TOKEN_INCREMENT
         self._log.event("lease_row_restored", era=result.era, token=self.token)
 
-    def _may_lack_holder(self, result: LeaseRead) -> bool:
-        """Whether nobody has written the row since a restore that this process didn't see."""
+    def _may_have_lost_holder(self, result: LeaseRead) -> bool:
+        """Whether the row has not been written since a restore before this process's first read."""
         if result.record is None:
             return result.era > 0 and not self._is_first_start
         return result.record.era < result.era
 
-    def _is_earlier_life(self, record: LeaseRecord) -> bool:
-        """Whether the holder was this node before it was restarted."""
+    def _is_earlier_incarnation(self, record: LeaseRecord) -> bool:
+        """Whether the holder is this node before its last restart."""
         name = self._holder.rpartition(".")[0]
         return record.holder != self._holder and record.holder.rpartition(".")[0] == name
 
-    def _has_lapsed(self) -> bool:
+    def _has_expired(self) -> bool:
         unchanged_s = self._clock.now() - self._version_seen_at
-        return unchanged_s > LEASE_S * (1 + CLOCK_RATE_MARGIN)
+        return unchanged_s > LEASE_DURATION_S * (1 + CLOCK_RATE_MARGIN)
 
     async def acquire(self) -> bool:
-        """Take the lease that was last seen; fails if anybody wrote the row since."""
+        """Acquire the lease; returns ``False`` if the row changed since it was last read."""
         sent_at = self._clock.now()
         secret = secrets.token_hex(SECRET_BYTES)
-        inheritance = self.record.inheritance if self.record else Inheritance()
+        inheritance = self.record.inheritance if self.record else HandoverState()
         token, era = self._highest_token + 1, self._era or 0
         record = LeaseRecord(self._holder, self._address, token, 0, secret, inheritance, era)
         result = await self._store.write(self._version, record)
         if not isinstance(result, LeaseWritten):
             return False
         self.fenced.clear()
-        self._hold(record, result, sent_at)
+        self._record_written(record, result, sent_at)
         self._log.event("lease_acquired", token=record.token)
         return True
 
     async def acquire_after(self, resignation: Resignation) -> bool:
-        """Take the lease if its row is still as it was when its holder resigned."""
+        """Acquire the lease if its row has not changed since the holder resigned."""
         result = await self._store.read()
         if isinstance(result, Unavailable):
             return False
-        self._take(result)
+        self._update_from_read(result)
         record = result.record
         if record is None or Resignation(record.token, record.renewal) != resignation:
             return False
         return await self.acquire()
 
     async def renew(
-        self, unchanged: OperatorRows | None = None, inheritance: Inheritance | None = None
-    ) -> Renewal:
-        """Extend the lease, or take it up again while nobody has written the row since.
+        self, unchanged: OperatorRows | None = None, inheritance: HandoverState | None = None
+    ) -> RenewalOutcome:
+        """Extend the lease, or reacquire it if no other node has written the row since.
 
         Parameters
         ==========
 
-        unchanged : the operators' rows, if they are known. ``DONE`` proves that they had
-            written nothing newer when the renewal began.
-        inheritance : what nodes that start should know; as it was if it is left out.
+        unchanged : the operators' rows that the write requires to be unchanged, if known.
+            ``RENEWED`` proves that they had not changed when the renewal began.
+        inheritance : state for the next coordinator; by default that of the current row.
         """
         if self.fenced.is_set():
-            return Renewal.LOST
+            return RenewalOutcome.LOST
         sent_at = self._clock.now()
         current = self.record
         inheritance = inheritance or current.inheritance
@@ -260,62 +266,61 @@
         if is_changed:
             result = await self._store.write(self._version, record)
         if isinstance(result, LeaseWritten):
-            self._hold(record, result, sent_at)
-            return Renewal.DONE_CHANGED if is_changed else Renewal.DONE
+            self._record_written(record, result, sent_at)
+            return RenewalOutcome.RENEWED_ROWS_CHANGED if is_changed else RenewalOutcome.RENEWED
         if isinstance(result, LeaseConflict):
-            return await self._look_for_late_write()
+            return await self._check_for_late_write()
         if self._unanswered is None or self._unanswered[0] != record.renewal:
             self._unanswered = (record.renewal, sent_at)
-        return Renewal.UNKNOWN
+        return RenewalOutcome.UNKNOWN
 
-    async def _look_for_late_write(self) -> Renewal:
-        """Find out whether the row was changed by a write of ours whose answer was lost.
+    async def _check_for_late_write(self) -> RenewalOutcome:
+        """Check whether the row was changed by this node's own write whose response was lost.
 
-        Such a write extends the lease from when it was first sent, however late the
-        store carried it out: others count from when they see the row changed.
+        Such a write extends the lease from the time at which it was first sent, even if the
+        store applied it later.
         """
         result = await self._store.read()
         if isinstance(result, Unavailable):
-            return Renewal.UNKNOWN
-        self._take(result)
+            return RenewalOutcome.UNKNOWN
+        self._update_from_read(result)
         if result.record is None or result.record.holder != self._holder:
             self._held_until = NEVER
-            return Renewal.LOST
+            return RenewalOutcome.LOST
         if self._unanswered is not None and self._unanswered[0] == result.record.renewal:
-            self._held_until = self._unanswered[1] + LEASE_S * (1 - CLOCK_RATE_MARGIN)
+            self._held_until = self._unanswered[1] + LEASE_DURATION_S * (1 - CLOCK_RATE_MARGIN)
             self._unanswered = None
-            return Renewal.DONE_BEFORE
-        return Renewal.UNKNOWN
+            return RenewalOutcome.RENEWED_BY_EARLIER_WRITE
+        return RenewalOutcome.UNKNOWN
 
-    def _hold(self, record: LeaseRecord, result: LeaseWritten, sent_at: float) -> None:
+    def _record_written(self, record: LeaseRecord, result: LeaseWritten, sent_at: float) -> None:
         self.record = record
         self._highest_token = max(self._highest_token, record.token)
         self._version = result.version
         self._version_seen_at = self._clock.now()
         self._unanswered = None
-        self._held_until = sent_at + LEASE_S * (1 - CLOCK_RATE_MARGIN)
+        self._held_until = sent_at + LEASE_DURATION_S * (1 - CLOCK_RATE_MARGIN)
 
     def as_successor(self) -> Successor:
-        """Return the latest holder known, for nodes that can't read the row."""
+        """Return the latest known holder, for nodes that can't read the row."""
         return Successor(self.record.token, self.record.address, self.record.secret)
 
     def adopt(self, successor: Successor) -> None:
-        """Follow the holder that another node has named.
+        """Replace the known holder by a successor that another node reported.
 
-        That is enough to report there. The row's version stays as it was read last, so
-        that nothing can be written by that alone.
+        The row's version is left unchanged, so this alone doesn't allow writing the row.
         """
-        self.give_up()
+        self.relinquish()
         self._highest_token = max(self._highest_token, successor.token)
         self.record = LeaseRecord(
             "", successor.address, successor.token, renewal=0, secret=successor.secret
         )
 
-    def note_fenced(self) -> None:
-        """Note that a host has seen an order under a higher token: this term is over for good."""
+    def mark_fenced(self) -> None:
+        """End this term for good: a host has seen an order with a higher token."""
         self._log.event("lease_fenced", token=self.token)
         self.fenced.set()
 
-    def give_up(self) -> None:
-        """Give no more orders under this lease."""
+    def relinquish(self) -> None:
+        """Stop giving orders under this lease, without writing the row."""
         self._held_until = NEVER
--- a/mulleinreach/gateway/coordination/lease_document.py
+++ b/mulleinreach/gateway/coordination/lease_document.py
@@ -1,4 +1,4 @@
-"""What the lease's row holds, as a document that any store can keep."""
+"""Encodes the content of the lease's row as a document, independent of the store."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from mulleinreach.gateway.known.content import format_digest, parse_digest
 from mulleinreach.gateway.known.crashes import held_contents
-from mulleinreach.gateway.model import HeldContent, Inheritance, RouteWait
+from mulleinreach.gateway.model import CallerTimeout, HandoverState, HeldContent
 from mulleinreach.gateway.ports import LeaseRecord
 
 
 def encode_record(record: LeaseRecord) -> dict[str, object]:
-    """Return a record as a document.
+    """Return the document for a record.
 
     Examples
     ========
 
-    >>> inheritance = Inheritance((RouteWait("r", 5.5),), held=(HeldContent(7, 60.0),))
+    >>> inheritance = HandoverState((CallerTimeout("r", 5.5),), held=(HeldContent(7, 60.0),))
     >>> record = LeaseRecord("a.1", "10.0.0.1:1", 1, 0, "secret", inheritance)
     >>> decode_record(encode_record(record)) == record
     True
@@ -35,7 +35,7 @@
 
 
 def decode_record(document: dict) -> LeaseRecord | None:
-    """Return the record that a document holds; none, with a log line, if it can't be read."""
+    """Return the record in a document; logs a warning and returns ``None`` if unreadable."""
     try:
         return LeaseRecord(
             str(document["holder"]),
@@ -44,7 +44,7 @@
             int(document["renewal"]),
             str(document["secret"]),
             _decode_inheritance(document),
-            # Earlier releases didn't tell it.
+            # Absent in documents of earlier releases.
             int(document.get("era", 0)),
         )
     except (KeyError, TypeError, ValueError) as error:
@@ -52,24 +52,24 @@
         return None
 
 
-def _decode_inheritance(document: dict) -> Inheritance:
-    """Return what a coordinator left; nothing if that can't be read.
+def _decode_inheritance(document: dict) -> HandoverState:
+    """Return the state for the next coordinator; an empty one if it can't be read.
 
-    Earlier releases left less. Nobody needs any of it to coordinate.
+    Earlier releases stored less of it. It isn't required to coordinate.
     """
     try:
         waits = document.get("first_waits", {}).items()
-        return Inheritance(
-            tuple(RouteWait(str(route), float(shortest_s)) for route, shortest_s in waits),
+        return HandoverState(
+            tuple(CallerTimeout(str(route), float(shortest_s)) for route, shortest_s in waits),
             _decode_held(document),
         )
     except (TypeError, ValueError, AttributeError) as error:
         logging.warning("event=inheritance_unreadable why=%r", error)
-        return Inheritance()
+        return HandoverState()
 
 
 def _decode_held(document: dict) -> tuple[HeldContent, ...]:
-    """Return the requests that are held; earlier releases didn't tell for how much longer."""
+    """Return the held requests; earlier releases don't store the remaining times."""
     contents = [parse_digest(text) for text in document.get("held", [])]
     times_s = [float(seconds) for seconds in document.get("held_for_s", [])]
     return held_contents(contents, times_s)
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -1,13 +1,11 @@
-"""Finds or becomes the coordinator, and exchanges reports with it.
+"""Finds the coordinator or becomes it, and exchanges reports with it.
 
 Explanation
 ===========
 
-Every node has one connection to the coordinator. Over it go what the node has in
-flight, and back come the totals, the heads that are open and the upstreams that
-are lost. A node that is connected has no need to read the lease. A refused
-connection shows that the holder's process has ended, so the lease may be taken
-at once; silence shows nothing, and the lease has to lapse first.
+Every node has one connection to the coordinator, and doesn't read the lease while it is connected.
+A refused connection shows that the holder's process has ended, so the lease may be acquired at
+once. After a timeout the lease has to expire first.
 """
 
 from __future__ import annotations
@@ -18,16 +16,16 @@
 
 from mulleinreach.common import Address, Clock, EventLog, Network
 from mulleinreach.gateway.coordination.election import election_delay_s
-from mulleinreach.gateway.coordination.follower import EndReason, Follower
+from mulleinreach.gateway.coordination.follower import FollowEndReason, Follower
 from mulleinreach.gateway.coordination.frames import PeerError
-from mulleinreach.gateway.coordination.hub import HeardNode, MemberHub
+from mulleinreach.gateway.coordination.hub import MemberHub, RecentNode
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, LeaseState, Resignation
 from mulleinreach.gateway.coordination.own_report import OwnReports
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.coordination.succession import tell_replaced
+from mulleinreach.gateway.coordination.succession import notify_replaced
 from mulleinreach.gateway.coordination.term import CoordinatorTerm
 from mulleinreach.gateway.deployment import GatewayIdentity
 from mulleinreach.gateway.known.load import LoadBook
@@ -38,14 +36,14 @@
 
 
 class Coordination:
-    """This node's part: coordinator or one that reports to it.
+    """Runs this node as the coordinator or as a follower of it.
 
     Parameters
     ==========
 
-    identity : who this node is, and where the others reach it.
-    coordinate : runs for as long as the lease is held; cancelled when it is lost.
-    knowledge : what is passed on.
+    identity : this node's name, address and resources.
+    coordinate : runs while the lease is held; cancelled when the lease is lost.
+    knowledge : the state that nodes exchange.
     """
 
     def __init__(
@@ -74,83 +72,83 @@
         self._term = CoordinatorTerm(
             lease, self._hub, self._own_reports, knowledge, coordinate, clock, log
         )
-        self._seen_state: LeaseState | None = None
+        self._known_state: LeaseState | None = None
 
     async def listen(self) -> None:
-        """Accept connections of other nodes."""
+        """Accept connections from other nodes."""
         await self._hub.listen()
 
     def begin_stopping(self) -> None:
-        """Tell the others that this node stops, and hand the lease over."""
+        """Announce that this node is stopping, and hand over the lease if it holds it."""
         self._own_reports.is_stopping = True
 
     async def close(self) -> None:
-        """Stop listening and end the connections."""
-        self._lease.give_up()
+        """Stop listening and close all connections."""
+        self._lease.relinquish()
         self._hub.stop_listening()
         self._hub.close_connections()
 
     @property
     def is_hub(self) -> bool:
-        """Whether the other nodes meet here, under the lease or while it can't be renewed."""
+        """Whether other nodes report to this one, even while the lease can't be renewed."""
         return self._hub.is_open
 
     @property
     def is_following(self) -> bool:
-        """Whether a coordinator reports to this node."""
+        """Whether this node receives a coordinator's reports."""
         return self._follower.is_following
 
     @property
     def node_count(self) -> int:
-        """How many nodes there are, as known."""
+        """The known number of nodes."""
         return self._hub.node_count if self.is_hub else self._follower.node_count
 
     def node_reports(self) -> list[NodeReport]:
-        """Return the latest report of each node, our own first."""
+        """Return the latest report of each connected node, this node's own first."""
         return self._hub.node_reports()
 
-    def heard_nodes(self) -> list[HeardNode]:
-        """Return the nodes that were heard lately, our own first."""
-        return self._hub.heard_nodes()
+    def recent_nodes(self) -> list[RecentNode]:
+        """Return the nodes that reported recently, this node first."""
+        return self._hub.recent_nodes()
 
     async def run(self) -> None:
-        """Take part for ever."""
+        """Coordinate or follow until cancelled."""
         while True:
             try:
-                await self._take_part_once()
+                await self._run_once()
             except (OSError, PeerError) as error:
                 self._log.event("coordination_failed", why=repr(error))
                 await asyncio.sleep(RETRY_S)
 
-    async def _take_part_once(self) -> None:
-        state = self._seen_state or await self._look()
-        self._seen_state = None
+    async def _run_once(self) -> None:
+        state = self._known_state or await self._read_lease()
+        self._known_state = None
         if state is LeaseState.UNKNOWN:
             await asyncio.sleep(RETRY_S)
         elif state is LeaseState.FREE:
             await self._stand_for_election()
-        elif state is LeaseState.OTHERS:
+        elif state is LeaseState.HELD_BY_OTHER:
             await self._follow(Address.parse(self._lease.record.address))
 
-    async def _look(self) -> LeaseState:
-        """Read the lease's row, and what its holder left there for nodes that start."""
-        state = await self._lease.look()
+    async def _read_lease(self) -> LeaseState:
+        """Read the lease, and apply the state that its holder has stored with it."""
+        state = await self._lease.read_state()
         if self._lease.record is not None:
-            self._knowledge.take_inheritance(self._lease.record.inheritance)
+            self._knowledge.apply_inheritance(self._lease.record.inheritance)
         return state
 
     async def _follow(self, address: Address) -> None:
-        """Follow a coordinator, and do what its end asks for."""
+        """Follow a coordinator until that ends, then act on the reason."""
         ended = await self._follower.follow(address)
-        if ended.reason is EndReason.PROCESS_GONE:
+        if ended.reason is FollowEndReason.PROCESS_GONE:
             await self._stand_for_election()
-        elif ended.reason is EndReason.RESIGNED:
+        elif ended.reason is FollowEndReason.RESIGNED:
             await self._stand_after_resignation(ended.resignation)
-        elif ended.reason is EndReason.REPLACED:
-            self._seen_state = LeaseState.OTHERS
+        elif ended.reason is FollowEndReason.REPLACED:
+            self._known_state = LeaseState.HELD_BY_OTHER
         else:
-            is_new = ended.reason is EndReason.LOST
-            await asyncio.sleep(RECONNECT_S if is_new else RETRY_S)
+            was_connected = ended.reason is FollowEndReason.CONNECTION_LOST
+            await asyncio.sleep(RECONNECT_S if was_connected else RETRY_S)
 
     async def _stand_for_election(self) -> None:
         if self._own_reports.is_stopping:
@@ -158,47 +156,48 @@
             return
         record = self._lease.record
         await asyncio.sleep(self._election_delay_s())
-        # Most nodes find here that another one was first, which spares them a write.
-        # A row that its holder has renewed meanwhile must not be taken either.
-        state = await self._lease.look()
+        # Another node may have acquired the lease, or its holder renewed it, during the delay.
+        state = await self._lease.read_state()
         if self._lease.record != record:
-            self._seen_state = state
+            self._known_state = state
         elif state is not LeaseState.UNKNOWN and await self._lease.acquire():
             await self._coordinate_after(record)
         else:
-            await self._rest_after_election()
+            await self._back_off_after_election()
 
     async def _stand_after_resignation(self, resignation: Resignation) -> None:
         await asyncio.sleep(self._election_delay_s())
-        replaced = self._lease.record
+        replaced_record = self._lease.record
         is_stopping = self._own_reports.is_stopping
         if not is_stopping and await self._lease.acquire_after(resignation):
-            await self._coordinate_after(replaced)
+            await self._coordinate_after(replaced_record)
         else:
-            await self._rest_after_election()
+            await self._back_off_after_election()
 
-    async def _rest_after_election(self) -> None:
-        """Leave time to the node that was first, or to a store that loses answers."""
+    async def _back_off_after_election(self) -> None:
+        """Wait a random time: another node was elected, or the store doesn't respond."""
         await asyncio.sleep(self._rng.uniform(1, 2) * RETRY_S)
 
-    async def _coordinate_after(self, replaced: LeaseRecord | None) -> None:
-        """Coordinate, and tell the holder of an earlier record, if that was another node."""
-        if replaced is None or replaced.address == str(self._identity.peers):
+    async def _coordinate_after(self, replaced_record: LeaseRecord | None) -> None:
+        """Coordinate, and notify the previous holder if it was another node."""
+        if replaced_record is None or replaced_record.address == str(self._identity.peers):
             await self._coordinate()
             return
-        own = self._lease.as_successor()
-        telling = asyncio.create_task(
-            tell_replaced(replaced, own, self._identity.name, self._network, self._log)
+        own_successor = self._lease.as_successor()
+        notification = asyncio.create_task(
+            notify_replaced(
+                replaced_record, own_successor, self._identity.name, self._network, self._log
+            )
         )
         try:
             await self._coordinate()
         finally:
-            telling.cancel()
+            notification.cancel()
 
     async def _coordinate(self) -> None:
-        """Coordinate for one term; after giving way, follow the successor without a look."""
+        """Coordinate for one term; after stepping down, follow the successor directly."""
         if await self._term.serve():
-            self._seen_state = LeaseState.OTHERS
+            self._known_state = LeaseState.HELD_BY_OTHER
 
     def _election_delay_s(self) -> float:
         return election_delay_s(self._identity, self._rng)
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -1,4 +1,4 @@
-"""Gives out permits for requests to upstreams that bound those of all nodes together."""
+"""Allocates permits for requests to upstreams with a rate limit over all nodes."""
 
 from __future__ import annotations
 
@@ -10,46 +10,46 @@
 from mulleinreach.gateway.known.limits import bearable_per_s, permit_s
 from mulleinreach.gateway.known.permits import PermitCount
 
-# Permits that may gather while nobody wants them. With fewer, those are lost that become due
-# between two rounds of reports.
-BURST = 2.0
-# Seconds of an upstream's rate that may gather, where that is more: a round of reports.
+# Capacity of a token bucket; enough for the permits that accrue between two reports.
+BURST_PERMITS = 2.0
+# Capacity in seconds of the upstream's rate, if that is more.
 BURST_S = 0.25
-# For clocks that don't run alike.
-MARGIN_S = 0.1
+# Allows for differences in clock rate between nodes.
+CLOCK_SKEW_MARGIN_S = 0.1
 
 Node = TypeVar("Node", bound=Hashable)
 
 
 @dataclass
-class _Account:
-    """What may be given out for one upstream.
+class _TokenBucket:
+    """Permits available for one upstream.
 
     Parameters
     ==========
 
-    credits : by node, how much it was passed over, as in smooth weighted round robin.
+    credits : weight of each node in the smooth weighted round robin.
     """
 
     balance: float
-    at: float
+    updated_at: float
     credits: dict[Hashable, float] = field(default_factory=dict)
 
 
 class PermitAllocator:
-    """Divides each upstream's limit among the nodes by what they want, for one term.
+    """Divides each upstream's rate limit among the nodes by demand, for one term.
 
     Explanation
     ===========
 
-    Permits are drawn from a token bucket. Within any time of T seconds no more are spent than
-    ``limit * (T + permit_s(limit)) + max(BURST, BURST_S * limit)``, whatever becomes of messages.
+    Permits are taken from a token bucket. Within any T seconds the nodes send at most
+    ``limit * (T + permit_s(limit)) + max(BURST_PERMITS, BURST_S * limit)`` requests, even if
+    messages are lost or late.
 
     Parameters
     ==========
 
-    begun_at : when the term began. Permits of an earlier coordinator have lapsed before the
-        first ones are given out.
+    begun_at : start of the term. No permits are granted until those of the previous coordinator
+        have expired.
 
     Examples
     ========
@@ -64,7 +64,7 @@
 
     def __init__(self, begun_at: float):
         self._begun_at = begun_at
-        self._accounts: dict[str, _Account] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def allocate(
         self,
@@ -72,50 +72,50 @@
         limits: Mapping[str, float],
         now: float,
     ) -> dict[Node, list[PermitCount]]:
-        """Return the permits that each node gets now.
+        """Return the permits granted to each node now.
 
         Parameters
         ==========
 
-        wanted : what each node asks for, beside the permits that it holds.
-        limits : of upstreams, in requests a second.
+        wanted : the permits that each node requests in addition to those that it holds.
+        limits : rate limit of each upstream, in requests per second.
         """
-        self._accounts = {u: a for u, a in self._accounts.items() if u in limits}
+        self._buckets = {u: b for u, b in self._buckets.items() if u in limits}
         wants_by_upstream: dict[str, dict[Node, int]] = defaultdict(dict)
         for node, wants in wanted.items():
             for want in wants:
                 wants_by_upstream[want.upstream_id][node] = want.count
-        given: dict[Node, list[PermitCount]] = defaultdict(list)
+        granted: dict[Node, list[PermitCount]] = defaultdict(list)
         for upstream_id, limit in limits.items():
-            if now - self._begun_at < permit_s(limit) + MARGIN_S:
+            if now - self._begun_at < permit_s(limit) + CLOCK_SKEW_MARGIN_S:
                 continue
             per_s = bearable_per_s(limit)
             counts = self._allocate_one(upstream_id, per_s, wants_by_upstream[upstream_id], now)
             for node, count in counts.items():
-                given[node].append(PermitCount(upstream_id, count))
-        return dict(given)
+                granted[node].append(PermitCount(upstream_id, count))
+        return dict(granted)
 
     def _allocate_one(
         self, upstream_id: str, per_s: float, wants: dict[Node, int], now: float
     ) -> dict[Node, int]:
-        """Return how many permits for one upstream each node gets."""
-        account = self._accounts.setdefault(upstream_id, _Account(1.0, now))
-        gathered = account.balance + (now - account.at) * per_s
-        account.balance, account.at = min(gathered, max(BURST, BURST_S * per_s)), now
-        account.credits = {n: c for n, c in account.credits.items() if n in wants}
+        """Return the number of permits granted to each node for one upstream."""
+        bucket = self._buckets.setdefault(upstream_id, _TokenBucket(1.0, now))
+        accrued = bucket.balance + (now - bucket.updated_at) * per_s
+        bucket.balance, bucket.updated_at = min(accrued, max(BURST_PERMITS, BURST_S * per_s)), now
+        bucket.credits = {n: c for n, c in bucket.credits.items() if n in wants}
         counts: dict[Node, int] = defaultdict(int)
-        while account.balance >= 1 and wants:
-            node = _draw(account.credits, wants)
+        while bucket.balance >= 1 and wants:
+            node = _pick_node(bucket.credits, wants)
             counts[node] += 1
             wants[node] -= 1
             if not wants[node]:
                 del wants[node]
-            account.balance -= 1
+            bucket.balance -= 1
         return dict(counts)
 
 
-def _draw(credit: dict[Hashable, float], wants: Mapping[Node, int]) -> Node:
-    """Return whose turn it is: each gets its part, by what it wants."""
+def _pick_node(credit: dict[Hashable, float], wants: Mapping[Node, int]) -> Node:
+    """Return the node that gets the next permit, by smooth weighted round robin."""
     for node, count in wants.items():
         credit[node] = credit.get(node, 0.0) + count
     chosen = max(wants, key=lambda node: credit[node])
--- a/mulleinreach/gateway/coordination/totals.py
+++ b/mulleinreach/gateway/coordination/totals.py
@@ -1,4 +1,4 @@
-"""Makes what all nodes are told: adds up their loads, and leaves out what they know already."""
+"""Sums the loads of all nodes, and omits unchanged values from the totals sent to them."""
 
 from __future__ import annotations
 
@@ -7,59 +7,58 @@
 from mulleinreach.gateway.coordination.reports import NodeReport, Totals
 from mulleinreach.gateway.known.load import LoadReport
 
-# One report in so many names open heads and held requests even if they are as they were told last:
-# a node that has just come has missed that.
-REPEAT_EVERY = 10
+# Unchanged values are sent again in every such round, for nodes that have joined since.
+FULL_TOTALS_INTERVAL_ROUNDS = 10
 
 
-class TellOnChange:
-    """Decides when a value is told: when it has changed, and now and then all the same.
+class SendOnChange:
+    """Decides when to send a value: when it has changed, and in every full round.
 
     Parameters
     ==========
 
-    told : what counts as told at first.
+    last_sent : the initial value, which counts as sent.
     """
 
-    def __init__(self, told: object):
-        self._told = told
+    def __init__(self, last_sent: object):
+        self._last_sent = last_sent
 
-    def is_due(self, value: object, is_repetition: bool) -> bool:
-        """Whether to tell a value now, which then counts as told."""
-        if value == self._told and not is_repetition:
+    def is_due(self, value: object, is_full_round: bool) -> bool:
+        """Whether to send a value now; if so, it is recorded as sent."""
+        if value == self._last_sent and not is_full_round:
             return False
-        self._told = value
+        self._last_sent = value
         return True
 
 
-class TotalsShortener:
-    """Leaves out of totals what all nodes know already, or have no use for."""
+class TotalsCompactor:
+    """Omits from totals what all nodes already have, and loads of idle upstreams."""
 
     def __init__(self) -> None:
         self._round = 0
-        # A coordinator that has just begun knows of no heads yet; nodes keep those that they know.
-        self._heads = TellOnChange([])
-        self._held = TellOnChange(set())
-        self._limits = TellOnChange(set())
+        # Empty, so that nodes keep their heads until a new coordinator has found some.
+        self._heads = SendOnChange([])
+        self._held = SendOnChange(set())
+        self._limits = SendOnChange(set())
 
-    def shorten(self, totals: Totals) -> Totals:
+    def compact(self, totals: Totals) -> Totals:
         """Return the totals to send in the next round."""
         self._round += 1
-        is_repetition = self._round % REPEAT_EVERY == 0
-        # The times that remain to what is held change all the while.
+        is_full_round = self._round % FULL_TOTALS_INTERVAL_ROUNDS == 0
+        # Without the remaining times and ages, which change constantly.
         contents = {held.content for held in totals.held or ()}
         limits = {(limit.upstream_id, limit.per_s) for limit in totals.limits or ()}
         return replace(
             totals,
             loads=[load for load in totals.loads if load.running > 0],
-            heads=totals.heads if self._heads.is_due(totals.heads, is_repetition) else None,
-            held=totals.held if self._held.is_due(contents, is_repetition) else None,
-            limits=totals.limits if self._limits.is_due(limits, is_repetition) else None,
+            heads=totals.heads if self._heads.is_due(totals.heads, is_full_round) else None,
+            held=totals.held if self._held.is_due(contents, is_full_round) else None,
+            limits=totals.limits if self._limits.is_due(limits, is_full_round) else None,
         )
 
 
 def sum_loads(reports: list[NodeReport]) -> list[LoadReport]:
-    """Return the load of several nodes together, one report an upstream.
+    """Return the load of each upstream, summed over several nodes.
 
     Examples
     ========
