--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -20,7 +20,7 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.known.choosing import UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit
-from mulleinreach.gateway.known.crashes import CrashBook, Sighting
+from mulleinreach.gateway.known.crashes import CrashTracker, RunObservation
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import NamedLimit
@@ -59,7 +59,7 @@
         permits: SendPermits,
         controller: FleetController,
         first_waits: FirstWaits,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         on_lost: Callable[[str], None],
     ):
         self._in_force = in_force
@@ -127,11 +127,11 @@
         """Return what nodes that start should know."""
         return Inheritance(self._first_waits.known(), self._crashes.held())
 
-    def sightings(self, includes_old: bool) -> list[Sighting]:
+    def sightings(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
-        return self._crashes.own_sightings(includes_old)
+        return self._crashes.own_observations(includes_old)
 
-    def take_sightings(self, sightings: list[Sighting]) -> None:
+    def take_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
         self._crashes.take(sightings)
 
@@ -182,7 +182,7 @@
     def take_inheritance(self, inheritance: Inheritance) -> None:
         """Take what an earlier coordinator knew of callers."""
         self._first_waits.take_told(inheritance.first_waits)
-        self._crashes.take_held(inheritance.held)
+        self._crashes.merge_held(inheritance.held)
 
     def take(self, report: CoordinatorReport, asked_at: float, own_loads: list[LoadReport]) -> None:
         """Take a coordinator's report.
@@ -216,7 +216,7 @@
         if totals.limits is not None:
             self._permits.limits.take_told(totals.limits, asked_at)
         self._permits.take(report.permits, asked_at, totals.nodes)
-        self._crashes.take_held(totals.held or (), asked_at)
+        self._crashes.merge_held(totals.held or (), asked_at)
         self._take_heads(totals)
         self._take_lost(totals.lost)
 
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -9,7 +9,7 @@
 import sys
 from collections.abc import Callable
 
-from mulleinreach.gateway.known.crashes import HOLD_S, CrashBook, Sighting
+from mulleinreach.gateway.known.crashes import HOLD_S, CrashTracker, RunObservation
 from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, BookDesk
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 
@@ -43,11 +43,11 @@
     return count
 
 
-def sightings_of(upstreams: int) -> list[Sighting]:
+def sightings_of(upstreams: int) -> list[RunObservation]:
     """Return what a node tells when upstreams of two halls end under many requests each."""
     rng = random.Random(upstreams)
     return [
-        Sighting(
+        RunObservation(
             rng.getrandbits(64),
             rng.getrandbits(64),
             f"u{number}",
@@ -62,7 +62,7 @@
 
 def work_of(upstreams: int) -> float:
     """Return how many operations a sighting takes where so many upstreams end at once."""
-    book: CrashBook = BookDesk().book
+    book: CrashTracker = BookDesk().book
     told = sightings_of(upstreams)
     return count_operations(lambda: book.take(told)) / len(told)
 
@@ -87,7 +87,7 @@
     for _ in range(COORDINATORS):
         desk.wait(BETWEEN_COORDINATORS_S)
         later = BookDesk(desk.clock).book
-        later.take_held(book.held())
+        later.merge_held(book.held())
         book = later
         if desk.clock.now() >= 1000.0 + HOLD_S:
             assert not book.is_held(CULPRIT)
@@ -99,7 +99,7 @@
         desk.end(CULPRIT, name)
     desk.wait(HOLD_S / 2)
     later = BookDesk(desk.clock)
-    later.book.take_held(desk.book.held())
+    later.book.merge_held(desk.book.held())
     desk.wait(HOLD_S / 2 - 1)
     assert later.book.is_held(CULPRIT)
     desk.wait(2)
--- a/mulleinreach/gateway/known/tests/test_crashes.py
+++ b/mulleinreach/gateway/known/tests/test_crashes.py
@@ -10,13 +10,17 @@
 from mulleinreach.common import Address
 from mulleinreach.gateway.known.crashes import (
     HOLD_S,
-    MOST_BEGINNING,
-    MOST_CONTENTS,
-    MOST_HELD,
-    TELL_S,
-    CrashBook,
+    MAX_BEGUN_REQUESTS,
+    MAX_HELD_CONTENTS,
+    MAX_TRACKED_CONTENTS,
+    REPORT_WINDOW_S,
+    CrashTracker,
+)
+from mulleinreach.gateway.known.upstream_ends import (
+    OBSERVATION_RETENTION_S,
+    SAME_FAILURE_WINDOW_S,
+    RunOutcome,
 )
-from mulleinreach.gateway.known.upstream_ends import APART_S, MEMORY_S, RunOutcome
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Upstream
 
@@ -47,7 +51,7 @@
     def __init__(self, clock: SteppedClock | None = None, seed: int = 1):
         self.clock = clock or SteppedClock()
         self.held: list[int] = []
-        self.book = CrashBook(self.clock, SilentLog(), random.Random(seed), self.held.append)
+        self.book = CrashTracker(self.clock, SilentLog(), random.Random(seed), self.held.append)
 
     def end(self, content: int, name: str, hall: str = "a", has_begun: bool = True) -> None:
         """Note an end at an upstream of a name."""
@@ -115,7 +119,7 @@
 def test_ends_in_a_failing_hall_count_once(desk):
     desk.end(OTHER, "u9")
     desk.end(CULPRIT, "u1")
-    desk.wait(APART_S / 2)
+    desk.wait(SAME_FAILURE_WINDOW_S / 2)
     desk.end(CULPRIT, "u2")
     assert not desk.book.is_held(CULPRIT)
 
@@ -123,7 +127,7 @@
 def test_neighbours_of_a_culprit_do_not_make_its_hall_look_failing(desk):
     desk.end(OTHER, "u1", has_begun=False)
     desk.end(CULPRIT, "u1")
-    desk.wait(APART_S / 2)
+    desk.wait(SAME_FAILURE_WINDOW_S / 2)
     desk.end(CULPRIT, "u2")
     assert desk.book.is_held(CULPRIT)
     assert not desk.book.is_held(OTHER)
@@ -149,7 +153,7 @@
 
 
 def test_beginning_tells_nothing_where_all_requests_of_an_upstream_had_begun(desk):
-    crowd = range(10, 10 + MOST_BEGINNING + 1)
+    crowd = range(10, 10 + MAX_BEGUN_REQUESTS + 1)
     for name in ("u1", "u2"):
         for content in crowd:
             desk.end(content, name)
@@ -163,12 +167,12 @@
     desk.end(CULPRIT, "u1")
     for _ in range(50):
         desk.book.note_served(CULPRIT, upstream("u2"))
-    assert len(desk.book.own_sightings(includes_old=True)) == 2
+    assert len(desk.book.own_observations(includes_old=True)) == 2
 
 
 def test_served_requests_that_nothing_ended_under_are_not_kept(desk):
     desk.book.note_served(CULPRIT, upstream("u1"))
-    assert desk.book.own_sightings(includes_old=True) == []
+    assert desk.book.own_observations(includes_old=True) == []
 
 
 def test_sightings_of_two_nodes_come_together():
@@ -176,10 +180,10 @@
     second = BookDesk(first.clock, seed=2)
     first.end(CULPRIT, "u1")
     second.end(CULPRIT, "u2", hall="b")
-    first.book.take(second.book.own_sightings(includes_old=False))
+    first.book.take(second.book.own_observations(includes_old=False))
     assert first.book.is_held(CULPRIT)
     assert not second.book.is_held(CULPRIT)
-    second.book.take_held(first.book.held())
+    second.book.merge_held(first.book.held())
     assert second.held == [CULPRIT]
 
 
@@ -187,7 +191,7 @@
     first = BookDesk()
     second = BookDesk(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    report = first.book.own_sightings(includes_old=False)
+    report = first.book.own_observations(includes_old=False)
     for _ in range(3):
         second.book.take(report)
         second.wait(5)
@@ -198,22 +202,22 @@
     first = BookDesk()
     second = BookDesk(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    second.book.take(first.book.own_sightings(includes_old=False))
-    assert second.book.own_sightings(includes_old=True) == []
+    second.book.take(first.book.own_observations(includes_old=False))
+    assert second.book.own_observations(includes_old=True) == []
 
 
 def test_old_sightings_are_told_to_a_new_coordinator_only(desk):
     desk.end(CULPRIT, "u1")
-    desk.wait(TELL_S + 0.1)
-    assert desk.book.own_sightings(includes_old=False) == []
-    [told] = desk.book.own_sightings(includes_old=True)
+    desk.wait(REPORT_WINDOW_S + 0.1)
+    assert desk.book.own_observations(includes_old=False) == []
+    [told] = desk.book.own_observations(includes_old=True)
     assert (told.content, told.upstream_id, told.hall) == (CULPRIT, "u1", "a")
-    assert told.ago_s == pytest.approx(TELL_S + 0.1)
+    assert told.ago_s == pytest.approx(REPORT_WINDOW_S + 0.1)
 
 
 def test_sightings_and_holds_end(desk):
     desk.end(CULPRIT, "u1")
-    desk.wait(MEMORY_S + 1)
+    desk.wait(OBSERVATION_RETENTION_S + 1)
     desk.end(CULPRIT, "u2")
     assert not desk.book.is_held(CULPRIT)
     desk.wait(2)
@@ -225,13 +229,13 @@
 
 
 def test_the_newest_are_kept_where_there_are_too_many(desk):
-    for content in range(MOST_CONTENTS + 10):
+    for content in range(MAX_TRACKED_CONTENTS + 10):
         desk.end(content, "u1")
         desk.wait(0.01)
-    assert len(desk.book.own_sightings(includes_old=True)) == MOST_CONTENTS
-    desk.book.take_held(HeldContent(1000 + n, HOLD_S) for n in range(MOST_HELD + 5))
-    assert len(desk.book.held()) == MOST_HELD
-    assert desk.book.is_held(1000 + MOST_HELD + 4)
+    assert len(desk.book.own_observations(includes_old=True)) == MAX_TRACKED_CONTENTS
+    desk.book.merge_held(HeldContent(1000 + n, HOLD_S) for n in range(MAX_HELD_CONTENTS + 5))
+    assert len(desk.book.held()) == MAX_HELD_CONTENTS
+    assert desk.book.is_held(1000 + MAX_HELD_CONTENTS + 4)
     assert not desk.book.is_held(1000)
 
 
@@ -239,7 +243,7 @@
     first = BookDesk()
     second = BookDesk(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    [told] = first.book.own_sightings(includes_old=False)
+    [told] = first.book.own_observations(includes_old=False)
     second.book.take([replace(told, ago_s=700.0)])
     second.end(CULPRIT, "u2")
     assert not second.book.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -49,7 +49,7 @@
 
     @rule(teller=st.integers(0, NODES - 1), hearer=st.integers(0, NODES - 1))
     def sightings_are_told(self, teller, hearer):
-        told = self.desks[teller].book.own_sightings(includes_old=True)
+        told = self.desks[teller].book.own_observations(includes_old=True)
         self._note_decisions(lambda: self.desks[hearer].book.take(told))
 
     @rule(teller=st.integers(0, NODES - 1), on_the_way_s=ON_THE_WAY_S)
@@ -61,13 +61,13 @@
     @rule(data=st.data(), hearer=st.integers(0, NODES - 1))
     def holds_arrive_late_or_doubled(self, data, hearer):
         asked_at, held = data.draw(st.sampled_from(self.told))
-        self.desks[hearer].book.take_held(held, asked_at)
+        self.desks[hearer].book.merge_held(held, asked_at)
 
     @rule(node=st.integers(0, NODES - 1))
     def node_is_replaced_and_inherits(self, node):
         held = self.desks[(node + 1) % NODES].book.held()
         self.desks[node] = BookDesk(self.clock, random.Random(node).getrandbits(16))
-        self.desks[node].book.take_held(held)
+        self.desks[node].book.merge_held(held)
 
     @rule(seconds=SECONDS)
     def time_goes_by(self, seconds):
@@ -86,7 +86,7 @@
         books = [BookDesk(self.clock, 90 + n).book for n in range(2)]
         for book, order in zip(books, (told, told[::-1]), strict=True):
             for held in (*order, *order):
-                book.take_held(held)
+                book.merge_held(held)
         assert dict_of(books[0].held()) == dict_of(books[1].held())
 
 
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -25,7 +25,7 @@
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.known.content import format_digest
 from mulleinreach.gateway.known.counted import CountedEventLog, CountedLease, CountedSource
-from mulleinreach.gateway.known.crashes import CrashBook
+from mulleinreach.gateway.known.crashes import CrashTracker
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.following import ConfigurationInForce
@@ -111,7 +111,7 @@
         self.permits = SendPermits(self.limits, self.clock, self.rng)
         self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams)
         self.ports.orders.listen(self._on_notice)
-        self.crashes = CrashBook(self.clock, self.log, self.rng, self._on_held)
+        self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_held)
         turn = reading_turn(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
