--- a/benchmarks/ends.py
+++ b/benchmarks/ends.py
@@ -44,10 +44,10 @@
 
 async def measure() -> None:
     """Print the figures."""
-    book = CrashTracker(Clock(), EventLog("benchmark"), random.Random(1), lambda content: None)
+    tracker = CrashTracker(Clock(), EventLog("benchmark"), random.Random(1), lambda content: None)
     told = make_sightings()
-    first_ms = milliseconds(lambda: book.take(told))
-    again_ms = milliseconds(lambda: [book.take(told) for _ in range(TELLINGS)])
+    first_ms = milliseconds(lambda: tracker.merge_observations(told))
+    again_ms = milliseconds(lambda: [tracker.merge_observations(told) for _ in range(TELLINGS)])
     print(f"{len(told)} sightings: {first_ms:.1f} ms; {TELLINGS} tellings more: {again_ms:.1f} ms")
 
 
--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -8,7 +8,7 @@
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.known.limits import LimitBook
 from mulleinreach.gateway.known.permits import SendPermits
-from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.standins.gateway.hosts import make_upstream
 
@@ -19,7 +19,7 @@
     """Nodes that send to one upstream with a limit, and the coordinator that they hear."""
 
     def __init__(self, nodes: int, limit: float):
-        self.clock = SteppedClock()
+        self.clock = ManualClock()
         self.nodes = [self.make_node(number) for number in range(nodes)]
         self.allocator = PermitAllocator(self.clock.now())
         self.limit = limit
@@ -32,7 +32,7 @@
         """Return a node that knows the upstream and no limit of it."""
         directory = UpstreamDirectory()
         directory.replace_all(1, [UPSTREAM], self.clock.now())
-        book = LimitBook(directory, self.clock, SilentLog())
+        book = LimitBook(directory, self.clock, NullLog())
         return SendPermits(book, self.clock, random.Random(seed))
 
     def tell(self, number: int, limit: float) -> None:
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -133,7 +133,7 @@
 
     def take_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
-        self._crashes.take(sightings)
+        self._crashes.merge_observations(sightings)
 
     def untold_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
--- a/mulleinreach/gateway/known/crashes.py
+++ b/mulleinreach/gateway/known/crashes.py
@@ -134,10 +134,10 @@
         if known and known[-1].outcome is not RunOutcome.SERVED:
             self.note_end(content, upstream, RunOutcome.SERVED)
 
-    def take(self, sightings: Iterable[RunObservation]) -> None:
+    def merge_observations(self, observations: Iterable[RunObservation]) -> None:
         """Take what another node saw, and may have told before."""
         now = self._clock.now()
-        for told in sightings:
+        for told in observations:
             if told.id in self._taken_ids:
                 continue
             at = now - told.ago_s
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -18,8 +18,8 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.reading import (
-    CHECK_S,
-    ReadingTurn,
+    CHECK_INTERVAL_S,
+    DirectReadSchedule,
     SourceState,
     wait_for,
     wait_for_coordinator,
@@ -44,7 +44,7 @@
     ==========
 
     evacuations : the halls that operators have asked to empty.
-    reads_always : whether this node reads for the others. Another node reads only
+    is_reader : whether this node reads for the others. Another node reads only
         when it has no evidence that is passed on to it and young enough.
     turn : when another node reads.
     """
@@ -55,16 +55,16 @@
         evacuations: Evacuations,
         clock: Clock,
         log: EventLog,
-        reads_always: Callable[[], bool],
-        turn: ReadingTurn,
+        is_reader: Callable[[], bool],
+        turn: DirectReadSchedule,
     ):
         self._source = source
         self.evacuations = evacuations
         self._clock = clock
         self._log = log
-        self._reads_always = reads_always
+        self._reads_always = is_reader
         self._turn = turn
-        self._state = SourceState("configuration", log, reads_always)
+        self._state = SourceState("configuration", log, is_reader)
         self._revision: int | None = None
         self._known_version = 0
         # The version of the configuration's row in the store, as far as it was read here.
@@ -142,7 +142,7 @@
                 await self.read_once()
                 continue
             self._passed_on.clear()
-            await wait_for(self._passed_on, CHECK_S)
+            await wait_for(self._passed_on, CHECK_INTERVAL_S)
 
     def _must_read(self) -> bool:
         if self._reads_always() or self._known_version > self.version:
--- a/mulleinreach/gateway/known/store_calls.py
+++ b/mulleinreach/gateway/known/store_calls.py
@@ -51,7 +51,7 @@
 
     READER = enum.auto()
     FOLLOWER = enum.auto()
-    ALONE = enum.auto()
+    NO_COORDINATOR = enum.auto()
 
 
 def pause_s(role: StoreRole, nodes: int, failures: int) -> float:
@@ -66,7 +66,7 @@
     Examples
     ========
 
-    >>> [pause_s(StoreRole.ALONE, 9, failures) for failures in (1, 2, 3)]
+    >>> [pause_s(StoreRole.NO_COORDINATOR, 9, failures) for failures in (1, 2, 3)]
     [0.3, 0.6, 0.7]
     >>> pause_s(StoreRole.FOLLOWER, 200, 1)
     3.0
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from mulleinreach.gateway.known.crashes import HOLD_S, CrashTracker, RunObservation
-from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, BookDesk
+from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, TrackerHarness
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 
 REQUESTS_EACH = 17
@@ -62,9 +62,9 @@
 
 def work_of(upstreams: int) -> float:
     """Return how many operations a sighting takes where so many upstreams end at once."""
-    book: CrashTracker = BookDesk().book
+    book: CrashTracker = TrackerHarness().book
     told = sightings_of(upstreams)
-    return count_operations(lambda: book.take(told)) / len(told)
+    return count_operations(lambda: book.merge_observations(told)) / len(told)
 
 
 def test_sighting_takes_no_more_work_where_more_is_known():
@@ -72,21 +72,21 @@
 
 
 def test_sightings_that_are_told_again_take_little():
-    book = BookDesk().book
+    book = TrackerHarness().book
     told = sightings_of(MANY_UPSTREAMS)
-    first = count_operations(lambda: book.take(told))
-    again = count_operations(lambda: [book.take(told) for _ in range(TELLINGS)])
+    first = count_operations(lambda: book.merge_observations(told))
+    again = count_operations(lambda: [book.merge_observations(told) for _ in range(TELLINGS)])
     assert again < SHARE_OF_TELLINGS * first
 
 
 def test_hold_that_is_handed_on_ends_when_it_would_have():
-    desk = BookDesk()
+    desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
     book = desk.book
     for _ in range(COORDINATORS):
         desk.wait(BETWEEN_COORDINATORS_S)
-        later = BookDesk(desk.clock).book
+        later = TrackerHarness(desk.clock).book
         later.merge_held(book.held())
         book = later
         if desk.clock.now() >= 1000.0 + HOLD_S:
@@ -94,11 +94,11 @@
 
 
 def test_hold_that_is_handed_on_in_time_counts():
-    desk = BookDesk()
+    desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
     desk.wait(HOLD_S / 2)
-    later = BookDesk(desk.clock)
+    later = TrackerHarness(desk.clock)
     later.book.merge_held(desk.book.held())
     desk.wait(HOLD_S / 2 - 1)
     assert later.book.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_crashes.py
+++ b/mulleinreach/gateway/known/tests/test_crashes.py
@@ -27,7 +27,7 @@
 CULPRIT, OTHER = 1, 2
 
 
-class SteppedClock:
+class ManualClock:
     """A clock that a test moves."""
 
     def __init__(self):
@@ -38,20 +38,20 @@
         return self.at
 
 
-class SilentLog:
+class NullLog:
     """Takes events and drops them."""
 
     def event(self, name: str, **fields: object) -> None:
         """Drop an event."""
 
 
-class BookDesk:
+class TrackerHarness:
     """A book, its clock, and what it has held."""
 
-    def __init__(self, clock: SteppedClock | None = None, seed: int = 1):
-        self.clock = clock or SteppedClock()
+    def __init__(self, clock: ManualClock | None = None, seed: int = 1):
+        self.clock = clock or ManualClock()
         self.held: list[int] = []
-        self.book = CrashTracker(self.clock, SilentLog(), random.Random(seed), self.held.append)
+        self.book = CrashTracker(self.clock, NullLog(), random.Random(seed), self.held.append)
 
     def end(self, content: int, name: str, hall: str = "a", has_begun: bool = True) -> None:
         """Note an end at an upstream of a name."""
@@ -69,8 +69,8 @@
 
 
 @pytest.fixture
-def desk() -> BookDesk:
-    return BookDesk()
+def desk() -> TrackerHarness:
+    return TrackerHarness()
 
 
 def test_second_end_after_a_beginning_holds_a_request(desk):
@@ -176,11 +176,11 @@
 
 
 def test_sightings_of_two_nodes_come_together():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
     second.end(CULPRIT, "u2", hall="b")
-    first.book.take(second.book.own_observations(includes_old=False))
+    first.book.merge_observations(second.book.own_observations(includes_old=False))
     assert first.book.is_held(CULPRIT)
     assert not second.book.is_held(CULPRIT)
     second.book.merge_held(first.book.held())
@@ -188,21 +188,21 @@
 
 
 def test_doubled_and_late_reports_count_once():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
     report = first.book.own_observations(includes_old=False)
     for _ in range(3):
-        second.book.take(report)
+        second.book.merge_observations(report)
         second.wait(5)
     assert not second.book.is_held(CULPRIT)
 
 
 def test_what_others_saw_is_not_told_as_own():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    second.book.take(first.book.own_observations(includes_old=False))
+    second.book.merge_observations(first.book.own_observations(includes_old=False))
     assert second.book.own_observations(includes_old=True) == []
 
 
@@ -240,10 +240,10 @@
 
 
 def test_report_that_was_delayed_counts_from_when_it_was_written():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
     [told] = first.book.own_observations(includes_old=False)
-    second.book.take([replace(told, ago_s=700.0)])
+    second.book.merge_observations([replace(told, ago_s=700.0)])
     second.end(CULPRIT, "u2")
     assert not second.book.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -9,8 +9,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from mulleinreach.gateway.known.crashes import HOLD_S
-from mulleinreach.gateway.known.notices import NoticeBook
-from mulleinreach.gateway.known.tests.test_crashes import BookDesk, SilentLog, SteppedClock
+from mulleinreach.gateway.known.notices import NoticeTracker
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog, TrackerHarness
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Notice
@@ -30,8 +30,8 @@
 
     def __init__(self):
         super().__init__()
-        self.clock = SteppedClock()
-        self.desks = [BookDesk(self.clock, seed) for seed in range(NODES)]
+        self.clock = ManualClock()
+        self.desks = [TrackerHarness(self.clock, seed) for seed in range(NODES)]
         # The end of the latest hold that any node has decided on by itself, by content.
         self.ends_at: dict[int, float] = {}
         self.told: list[tuple[float, tuple[HeldContent, ...]]] = []
@@ -50,7 +50,7 @@
     @rule(teller=st.integers(0, NODES - 1), hearer=st.integers(0, NODES - 1))
     def sightings_are_told(self, teller, hearer):
         told = self.desks[teller].book.own_observations(includes_old=True)
-        self._note_decisions(lambda: self.desks[hearer].book.take(told))
+        self._note_decisions(lambda: self.desks[hearer].book.merge_observations(told))
 
     @rule(teller=st.integers(0, NODES - 1), on_the_way_s=ON_THE_WAY_S)
     def holds_are_sent(self, teller, on_the_way_s):
@@ -66,7 +66,7 @@
     @rule(node=st.integers(0, NODES - 1))
     def node_is_replaced_and_inherits(self, node):
         held = self.desks[(node + 1) % NODES].book.held()
-        self.desks[node] = BookDesk(self.clock, random.Random(node).getrandbits(16))
+        self.desks[node] = TrackerHarness(self.clock, random.Random(node).getrandbits(16))
         self.desks[node].book.merge_held(held)
 
     @rule(seconds=SECONDS)
@@ -83,7 +83,7 @@
     @invariant()
     def nodes_agree_once_they_have_told_each_other(self):
         told = [desk.book.held() for desk in self.desks]
-        books = [BookDesk(self.clock, 90 + n).book for n in range(2)]
+        books = [TrackerHarness(self.clock, 90 + n).book for n in range(2)]
         for book, order in zip(books, (told, told[::-1]), strict=True):
             for held in (*order, *order):
                 book.merge_held(held)
@@ -100,9 +100,9 @@
 
     def __init__(self):
         super().__init__()
-        self.clock = SteppedClock()
+        self.clock = ManualClock()
         self.directory = UpstreamDirectory()
-        self.book = NoticeBook(self.directory, self.clock, SilentLog(), lambda: None)
+        self.book = NoticeTracker(self.directory, self.clock, NullLog(), lambda: None)
         self.ends_at: dict[str, float] = {}
 
     @rule(name=UPSTREAMS, rest_s=st.sampled_from([0.25, 1.0, 3.0, 60.0]), leaves=st.booleans())
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -18,14 +18,14 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.reading import (
-    CHECK_S,
-    LONG_WAIT_S,
-    TRIAL_WAIT_S,
-    ReadingTurn,
+    CHECK_INTERVAL_S,
+    PROBE_WAIT_S,
+    READER_WAIT_S,
+    DirectReadSchedule,
     SourceState,
     wait_for_coordinator,
 )
-from mulleinreach.gateway.known.told_changes import tell_change, tell_whole_list
+from mulleinreach.gateway.known.told_changes import log_full_list, log_list_change
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.ports import HistoryLost, Unavailable, UpstreamSource, UpstreamsRead
 from mulleinreach.gateway.revision import era_of, format_revision
@@ -60,7 +60,7 @@
     Parameters
     ==========
 
-    reads_always : whether this node reads for the others.
+    is_reader : whether this node reads for the others.
     on_change : called after each answer that changed the list.
     is_urgent : whether somebody waits for a change.
     turn : when a node reads for itself.
@@ -73,18 +73,18 @@
         directory: UpstreamDirectory,
         clock: Clock,
         log: EventLog,
-        reads_always: Callable[[], bool],
+        is_reader: Callable[[], bool],
         on_change: Callable[[], None],
         is_urgent: Callable[[], bool],
-        turn: ReadingTurn,
+        turn: DirectReadSchedule,
         heartbeat_s: float,
     ):
         self._source = source
         self._directory = directory
         self._clock = clock
         self._log = log
-        self._state = SourceState("upstream_list", log, reads_always)
-        self._reads_always = reads_always
+        self._state = SourceState("upstream_list", log, is_reader)
+        self._reads_always = is_reader
         self._on_change = on_change
         self._is_urgent = is_urgent
         self._turn = turn
@@ -108,7 +108,7 @@
         """Take the coordinator's whole list, unless this node has one of its own."""
         if self._directory.revision is not None:
             return
-        tell_whole_list(self._log, self._directory, whole.revision, whole.upstreams)
+        log_full_list(self._log, self._directory, whole.revision, whole.upstreams)
         self._directory.replace_all(whole.revision, whole.upstreams, self._clock.now())
         self._must_read_all = False
         self.was_read.set()
@@ -124,7 +124,7 @@
         self._look_for_outage()
         self._look_for_restore(revision)
         for change in news:
-            tell_change(self._log, self._directory, change)
+            log_list_change(self._log, self._directory, change)
             self._directory.apply(change, self._clock.now(), self.keeps_removed())
         if revision > self._directory.revision:
             self._directory.revision = revision
@@ -141,7 +141,7 @@
                 if await self.read_once():
                     await self._batch()
             else:
-                await asyncio.sleep(CHECK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _batch(self) -> None:
         """Let changes come together, as long as nobody waits for one."""
@@ -177,7 +177,7 @@
         News that is merely late shows no outage: the store must have failed us since, or
         while the coordinator's last wait was still under way.
         """
-        has_failed = self._failed_at > self.heard_at - LONG_WAIT_S > NEVER
+        has_failed = self._failed_at > self.heard_at - READER_WAIT_S > NEVER
         if has_failed and self.list_age_s() > OUTAGE_S:
             self._keeps_removed_until = self._clock.now() + REINSTATED_S
 
@@ -187,7 +187,7 @@
         looks_at = [self._keeps_removed_until]
         if self._has_doubted:
             looks_at.append(self._doubted_until)
-        return min([wait_s, *(max(at - now, TRIAL_WAIT_S) for at in looks_at if at > now)])
+        return min([wait_s, *(max(at - now, PROBE_WAIT_S) for at in looks_at if at > now)])
 
     def _look_for_restore(self, revision: int) -> None:
         """Doubt the list for a while if the store was restored since this node's revision."""
@@ -300,11 +300,11 @@
         now, keeps_removed = self._clock.now(), self.keeps_removed()
         if is_full:
             upstreams = self._reconcile(result.upstreams)
-            tell_whole_list(self._log, self._directory, result.revision, upstreams)
+            log_full_list(self._log, self._directory, result.revision, upstreams)
             self._directory.replace_all(result.revision, upstreams, now, keeps_removed)
         else:
             change = ListChange(result.revision, result.upstreams, result.removed)
-            tell_change(self._log, self._directory, change)
+            log_list_change(self._log, self._directory, change)
             self._directory.apply(change, now, keeps_removed)
         if is_full or result.upstreams or result.removed:
             self._on_change()
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -31,14 +31,14 @@
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import LimitBook
 from mulleinreach.gateway.known.load import LoadBook
-from mulleinreach.gateway.known.notices import NoticeBook
+from mulleinreach.gateway.known.notices import NoticeTracker
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.routing import Router
 from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
-from mulleinreach.gateway.known.turns import reading_turn
+from mulleinreach.gateway.known.turns import direct_read_schedule
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
-from mulleinreach.gateway.known.waking import WakeWatch
+from mulleinreach.gateway.known.waking import SuspensionMonitor
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import Limits
@@ -109,10 +109,10 @@
         self.active = ActiveExchanges()
         self.limits = LimitBook(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
-        self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams)
+        self.notices = NoticeTracker(self.directory, self.clock, self.log, self._on_upstreams)
         self.ports.orders.listen(self._on_notice)
         self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_held)
-        turn = reading_turn(
+        turn = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
         # The answer to the first question tells whether the second is worth asking.
@@ -271,7 +271,7 @@
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
         self._tasks.spawn(self.store_calls.tell())
-        self._tasks.spawn(WakeWatch(suspended_s, self._describe_wake, self.log).run())
+        self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
         self.log.event("node_started", callers=self.identity.callers, hall=self.identity.hall)
 
     async def _serve(
@@ -298,7 +298,7 @@
         elif self.coordination.is_following:
             role = StoreRole.FOLLOWER
         else:
-            role = StoreRole.ALONE
+            role = StoreRole.NO_COORDINATOR
         return pause_s(role, self._node_count(), failures)
 
     def _reads_for_all(self) -> bool:
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -7,8 +7,8 @@
 import pytest
 from aiohttp import web
 
-from mulleinreach.gateway.known.notices import NoticeBook
-from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
+from mulleinreach.gateway.known.notices import NoticeTracker
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.tests.desk import NO_HOSTS, answer_whole, serve_desk
 from mulleinreach.gateway.tests.logged import fields_of, keep_events
@@ -31,11 +31,11 @@
 BACK_WITHIN_S = 2.0
 
 
-def make_book() -> tuple[NoticeBook, UpstreamDirectory, SteppedClock]:
+def make_book() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
     """Return a book, its list and its clock."""
-    clock, directory = SteppedClock(), UpstreamDirectory()
+    clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, [FIRST], clock.now())
-    return NoticeBook(directory, clock, SilentLog(), lambda: None), directory, clock
+    return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
 
 
 def test_shorter_rest_that_is_asked_for_later_ends_no_longer_one():
