--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -179,9 +179,9 @@
             self._version_seen_at = self._clock.now()
         self.record = result.record
         self._highest_token = max(self._highest_token, self.token)
-        self._look_for_restore(result)
+        self._detect_restore(result)
 
-    def _look_for_restore(self, result: LeaseRead) -> None:
+    def _detect_restore(self, result: LeaseRead) -> None:
         """Wait for leases to lapse whose rows may be lost, if the store was restored."""
         known, self._era = self._era, result.era
         is_restored = self._may_lack_holder(result) if known is None else known < result.era
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -165,13 +165,13 @@
     async def read_changed_rows(self, rows: OperatorRows | None) -> None:
         """Read the operators' rows, which have other versions, unless a wait has told it."""
         if self._in_force.operator_rows() == rows:
-            await self._in_force.read_anew()
+            await self._in_force.read_now()
 
     async def read_unproven_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
         self._follower.confirm(self._loads.now())
         if self._in_force.evidence_age_s() > UNPROVEN_S:
-            await self._in_force.read_anew()
+            await self._in_force.read_now()
 
     def note_store_failed(self) -> None:
         """Note that the store has just failed to answer."""
@@ -196,20 +196,20 @@
         """
         totals = report.totals
         self._loads.take_totals(totals.loads, own_loads)
-        self._in_force.take_passed(
+        self._in_force.merge_coordinator_evidence(
             totals.configuration_version,
             asked_at - totals.configuration_age_s,
             report.configuration,
             frozenset(totals.evacuated),
             totals.operator_revision,
         )
-        self._follower.take_outage(totals.keeps_removed)
+        self._follower.note_coordinator_retention(totals.keeps_removed)
         if totals.is_store_away:
-            self._in_force.note_store_away(asked_at)
+            self._in_force.note_store_unreachable(asked_at)
         if report.whole_list is not None:
-            self._follower.take_whole(report.whole_list, asked_at - totals.list_age_s)
+            self._follower.take_coordinator_list(report.whole_list, asked_at - totals.list_age_s)
         if not report.is_list_unknown:
-            self._follower.take_passed(
+            self._follower.merge_coordinator_changes(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
             )
         self._cold_limit.take_number(report.number, totals.numbers, asked_at)
--- a/mulleinreach/gateway/known/crashes.py
+++ b/mulleinreach/gateway/known/crashes.py
@@ -88,7 +88,7 @@
         self._seen: dict[int, list[ObservedRun]] = {}
         self._ends = UpstreamEnds(clock)
         self._own: deque[ObservedRun] = deque(maxlen=MAX_TRACKED_CONTENTS)
-        self._taken_ids: dict[int, None] = {}
+        self._known_ids: dict[int, None] = {}
         self._held_until: dict[int, float] = {}
 
     def is_held(self, content: int) -> bool:
@@ -113,9 +113,9 @@
         as_of : the moment from which their times count, now if it is left out. A moment before
             they were told makes them end earlier, never later than where they were decided.
         """
-        told_at = self._clock.now() if as_of is None else as_of
+        dated_at = self._clock.now() if as_of is None else as_of
         for held in contents:
-            until = told_at + min(held.remaining_s, HOLD_S)
+            until = dated_at + min(held.remaining_s, HOLD_S)
             if self.is_held(held.content):
                 self._held_until[held.content] = max(until, self._held_until[held.content])
             elif until > self._clock.now():
@@ -138,7 +138,7 @@
         """Take what another node saw, and may have told before."""
         now = self._clock.now()
         for told in observations:
-            if told.id in self._taken_ids:
+            if told.id in self._known_ids:
                 continue
             at = now - told.ago_s
             self._add(
@@ -156,9 +156,9 @@
         ]
 
     def _add(self, seen: ObservedRun) -> None:
-        self._taken_ids[seen.id] = None
-        if len(self._taken_ids) > MAX_OBSERVATION_IDS:
-            del self._taken_ids[next(iter(self._taken_ids))]
+        self._known_ids[seen.id] = None
+        if len(self._known_ids) > MAX_OBSERVATION_IDS:
+            del self._known_ids[next(iter(self._known_ids))]
         oldest = self._clock.now() - OBSERVATION_RETENTION_S
         known = [other for other in self._seen.pop(seen.content, ()) if other.at >= oldest]
         self._seen[seen.content] = runs = [*known, seen][-MAX_RUNS_PER_CONTENT:]
@@ -169,9 +169,9 @@
         self._ends.add(seen)
         # Most requests at an upstream that ends have lost no other one.
         if len(runs) >= MIN_ENDS_AFTER_BEGIN:
-            self._judge(seen.content)
+            self._hold_if_culprit(seen.content)
 
-    def _judge(self, content: int) -> None:
+    def _hold_if_culprit(self, content: int) -> None:
         """Hold a request if upstreams end under it again and again."""
         known = self._seen[content]
         served_at = max(
@@ -179,9 +179,9 @@
             default=float("-inf"),
         )
         ends = [seen for seen in known if seen.at > served_at]
-        begun = self._count_apart([seen for seen in ends if self._had_begun(seen)])
+        begun = self._count_independent([seen for seen in ends if self._had_begun(seen)])
         early = [seen for seen in ends if seen.outcome is not RunOutcome.ENDED_GIVING]
-        counts = (begun, self._count_apart(early), self._count_apart(ends))
+        counts = (begun, self._count_independent(early), self._count_independent(ends))
         limits = (MIN_ENDS_AFTER_BEGIN, MIN_ENDS_BEFORE_OUTPUT, MIN_ENDS_ANY_OUTCOME)
         is_culprit = any(count >= limit for count, limit in zip(counts, limits, strict=True))
         if is_culprit and not self.is_held(content):
@@ -192,17 +192,17 @@
         """Whether an upstream ended after it had begun a request, as few others there."""
         if end.outcome is not RunOutcome.ENDED_BEGUN:
             return False
-        return self._ends.count_beginning(end, MAX_BEGUN_REQUESTS + 1) <= MAX_BEGUN_REQUESTS
+        return self._ends.count_begun(end, MAX_BEGUN_REQUESTS + 1) <= MAX_BEGUN_REQUESTS
 
-    def _count_apart(self, ends: list[ObservedRun]) -> int:
+    def _count_independent(self, ends: list[ObservedRun]) -> int:
         """Return how many ends under one request a single failure doesn't explain."""
         counted: list[ObservedRun] = []
         explained = {end.upstream_id for end in ends}
         for end in sorted(ends, key=lambda seen: seen.at):
-            together = [other for other in counted if other.is_about(end)]
+            together = [other for other in counted if other.is_simultaneous_with(end)]
             is_counted = any(other.upstream_id == end.upstream_id for other in together)
-            is_in_hall = any(other.hall == end.hall for other in together)
-            if not is_counted and not (is_in_hall and self._ends.is_hall_failing(end, explained)):
+            shares_hall = any(other.hall == end.hall for other in together)
+            if not is_counted and not (shares_hall and self._ends.is_hall_failing(end, explained)):
                 counted.append(end)
         return len(counted)
 
--- a/mulleinreach/gateway/known/notices.py
+++ b/mulleinreach/gateway/known/notices.py
@@ -62,7 +62,7 @@
 
     def take(self, upstream: Upstream, notice: Notice) -> None:
         """Take what an answer says of the upstream that gave it."""
-        is_news = notice.is_leaving and self._directory.note_leaving(upstream.id)
+        is_news = notice.is_leaving and self._directory.mark_leaving(upstream.id)
         if notice.rest_s:
             self._note_rest(upstream.id, notice.rest_s)
         if is_news or notice.rest_s:
--- a/mulleinreach/gateway/known/reading.py
+++ b/mulleinreach/gateway/known/reading.py
@@ -41,14 +41,14 @@
     def __init__(self, name: str, log: EventLog, is_reader: Callable[[], bool]):
         self._name = name
         self._log = log
-        self._reads_always = is_reader
+        self._is_reader = is_reader
         self.is_lost = False
 
     def wait_s(self) -> float:
         """Return how long the next read may wait for a change."""
         if self.is_lost:
             return PROBE_WAIT_S
-        return READER_WAIT_S if self._reads_always() else FOLLOWER_WAIT_S
+        return READER_WAIT_S if self._is_reader() else FOLLOWER_WAIT_S
 
     def lost(self, reason: str) -> None:
         """Note a failed read."""
@@ -83,11 +83,11 @@
 
 
 async def wait_for_coordinator(
-    was_read: asyncio.Event, turn: DirectReadSchedule, is_reader: Callable[[], bool]
+    was_read: asyncio.Event, schedule: DirectReadSchedule, is_reader: Callable[[], bool]
 ) -> None:
     """Give the coordinator time to pass on what this node would read at its start."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + turn.start_wait_s
+    until = loop.time() + schedule.start_wait_s
     while loop.time() < until and not is_reader() and not was_read.is_set():
         await wait_for(was_read, START_CHECK_INTERVAL_S)
 
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -62,9 +62,9 @@
 
 def work_of(upstreams: int) -> float:
     """Return how many operations a sighting takes where so many upstreams end at once."""
-    book: CrashTracker = TrackerHarness().book
+    tracker: CrashTracker = TrackerHarness().tracker
     told = sightings_of(upstreams)
-    return count_operations(lambda: book.merge_observations(told)) / len(told)
+    return count_operations(lambda: tracker.merge_observations(told)) / len(told)
 
 
 def test_sighting_takes_no_more_work_where_more_is_known():
@@ -72,10 +72,10 @@
 
 
 def test_sightings_that_are_told_again_take_little():
-    book = TrackerHarness().book
+    tracker = TrackerHarness().tracker
     told = sightings_of(MANY_UPSTREAMS)
-    first = count_operations(lambda: book.merge_observations(told))
-    again = count_operations(lambda: [book.merge_observations(told) for _ in range(TELLINGS)])
+    first = count_operations(lambda: tracker.merge_observations(told))
+    again = count_operations(lambda: [tracker.merge_observations(told) for _ in range(TELLINGS)])
     assert again < SHARE_OF_TELLINGS * first
 
 
@@ -83,14 +83,14 @@
     desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
-    book = desk.book
+    tracker = desk.tracker
     for _ in range(COORDINATORS):
         desk.wait(BETWEEN_COORDINATORS_S)
-        later = TrackerHarness(desk.clock).book
-        later.merge_held(book.held())
-        book = later
+        later = TrackerHarness(desk.clock).tracker
+        later.merge_held(tracker.held())
+        tracker = later
         if desk.clock.now() >= 1000.0 + HOLD_S:
-            assert not book.is_held(CULPRIT)
+            assert not tracker.is_held(CULPRIT)
 
 
 def test_hold_that_is_handed_on_in_time_counts():
@@ -99,8 +99,8 @@
         desk.end(CULPRIT, name)
     desk.wait(HOLD_S / 2)
     later = TrackerHarness(desk.clock)
-    later.book.merge_held(desk.book.held())
+    later.tracker.merge_held(desk.tracker.held())
     desk.wait(HOLD_S / 2 - 1)
-    assert later.book.is_held(CULPRIT)
+    assert later.tracker.is_held(CULPRIT)
     desk.wait(2)
-    assert not later.book.is_held(CULPRIT)
+    assert not later.tracker.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -31,43 +31,43 @@
     def __init__(self):
         super().__init__()
         self.clock = ManualClock()
-        self.desks = [TrackerHarness(self.clock, seed) for seed in range(NODES)]
+        self.harnesses = [TrackerHarness(self.clock, seed) for seed in range(NODES)]
         # The end of the latest hold that any node has decided on by itself, by content.
         self.ends_at: dict[int, float] = {}
         self.told: list[tuple[float, tuple[HeldContent, ...]]] = []
 
     def _note_decisions(self, act) -> None:
-        counts = [len(desk.held) for desk in self.desks]
+        counts = [len(desk.held) for desk in self.harnesses]
         act()
-        for desk, count in zip(self.desks, counts, strict=True):
+        for desk, count in zip(self.harnesses, counts, strict=True):
             for content in desk.held[count:]:
                 self.ends_at[content] = self.clock.now() + HOLD_S
 
     @rule(node=st.integers(0, NODES - 1), content=CONTENTS, name=UPSTREAMS)
     def upstream_ends(self, node, content, name):
-        self._note_decisions(lambda: self.desks[node].end(content, name))
+        self._note_decisions(lambda: self.harnesses[node].end(content, name))
 
     @rule(teller=st.integers(0, NODES - 1), hearer=st.integers(0, NODES - 1))
     def sightings_are_told(self, teller, hearer):
-        told = self.desks[teller].book.own_observations(includes_old=True)
-        self._note_decisions(lambda: self.desks[hearer].book.merge_observations(told))
+        told = self.harnesses[teller].tracker.own_observations(includes_old=True)
+        self._note_decisions(lambda: self.harnesses[hearer].tracker.merge_observations(told))
 
     @rule(teller=st.integers(0, NODES - 1), on_the_way_s=ON_THE_WAY_S)
     def holds_are_sent(self, teller, on_the_way_s):
         asked_at = self.clock.now() - on_the_way_s
-        self.told.append((asked_at, self.desks[teller].book.held()))
+        self.told.append((asked_at, self.harnesses[teller].tracker.held()))
 
     @precondition(lambda self: self.told)
     @rule(data=st.data(), hearer=st.integers(0, NODES - 1))
     def holds_arrive_late_or_doubled(self, data, hearer):
         asked_at, held = data.draw(st.sampled_from(self.told))
-        self.desks[hearer].book.merge_held(held, asked_at)
+        self.harnesses[hearer].tracker.merge_held(held, asked_at)
 
     @rule(node=st.integers(0, NODES - 1))
     def node_is_replaced_and_inherits(self, node):
-        held = self.desks[(node + 1) % NODES].book.held()
-        self.desks[node] = TrackerHarness(self.clock, random.Random(node).getrandbits(16))
-        self.desks[node].book.merge_held(held)
+        held = self.harnesses[(node + 1) % NODES].tracker.held()
+        self.harnesses[node] = TrackerHarness(self.clock, random.Random(node).getrandbits(16))
+        self.harnesses[node].tracker.merge_held(held)
 
     @rule(seconds=SECONDS)
     def time_goes_by(self, seconds):
@@ -75,19 +75,19 @@
 
     @invariant()
     def nothing_is_held_beyond_its_end(self):
-        for desk in self.desks:
-            for held in desk.book.held():
+        for desk in self.harnesses:
+            for held in desk.tracker.held():
                 until = self.clock.now() + held.remaining_s
                 assert until <= self.ends_at[held.content] + ROUNDING_S
 
     @invariant()
     def nodes_agree_once_they_have_told_each_other(self):
-        told = [desk.book.held() for desk in self.desks]
-        books = [TrackerHarness(self.clock, 90 + n).book for n in range(2)]
-        for book, order in zip(books, (told, told[::-1]), strict=True):
+        told = [desk.tracker.held() for desk in self.harnesses]
+        trackers = [TrackerHarness(self.clock, 90 + n).tracker for n in range(2)]
+        for tracker, order in zip(trackers, (told, told[::-1]), strict=True):
             for held in (*order, *order):
-                book.merge_held(held)
-        assert dict_of(books[0].held()) == dict_of(books[1].held())
+                tracker.merge_held(held)
+        assert dict_of(trackers[0].held()) == dict_of(trackers[1].held())
 
 
 def dict_of(held: tuple[HeldContent, ...]) -> dict[int, float]:
@@ -102,13 +102,13 @@
         super().__init__()
         self.clock = ManualClock()
         self.directory = UpstreamDirectory()
-        self.book = NoticeTracker(self.directory, self.clock, NullLog(), lambda: None)
+        self.tracker = NoticeTracker(self.directory, self.clock, NullLog(), lambda: None)
         self.ends_at: dict[str, float] = {}
 
     @rule(name=UPSTREAMS, rest_s=st.sampled_from([0.25, 1.0, 3.0, 60.0]), leaves=st.booleans())
     def upstream_asks(self, name, rest_s, leaves):
         upstream = make_upstream(name, "desk", 1, None)
-        self.book.take(upstream, Notice(leaves, rest_s))
+        self.tracker.take(upstream, Notice(leaves, rest_s))
         end = self.clock.now() + rest_s
         self.ends_at[name] = max(end, self.ends_at.get(name, end))
 
@@ -119,9 +119,9 @@
     @invariant()
     def each_rests_until_its_last_end(self):
         resting = {name for name, end in self.ends_at.items() if end > self.clock.now()}
-        assert set(self.book.resting()) == resting
+        assert set(self.tracker.resting()) == resting
         for name in resting:
-            remaining_s = self.book.rest(name).remaining_s
+            remaining_s = self.tracker.rest(name).remaining_s
             assert abs(remaining_s - (self.ends_at[name] - self.clock.now())) < ROUNDING_S
 
 
--- a/mulleinreach/gateway/known/tests/test_store_calls.py
+++ b/mulleinreach/gateway/known/tests/test_store_calls.py
@@ -132,7 +132,7 @@
             node = await world.start_node(f"late-{number}")
             await world.until(node.is_ready, 0.3)
             await asyncio.sleep(0.7)
-            calls.append(sum(node.store_calls.take().values()))
+            calls.append(sum(node.store_calls.take_counts().values()))
             assert len(node.directory) == 16
         assert max(calls) <= 2
 
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mulleinreach.gateway.coordination.lease import Renewal, Resignation
-from mulleinreach.gateway.known.upstream_following import TOLD_TO_KEEP_S
+from mulleinreach.gateway.known.upstream_following import RETENTION_NOTICE_TTL_S
 from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.tests.support import run_world, turn_away
 from mulleinreach.gateway.upstream import Membership, MemberState
@@ -57,11 +57,11 @@
         await world.until_formed()
         follower = world.nodes["node-0"].follower
         for _ in range(20):
-            follower.take_outage(keeps_removed=True)
+            follower.note_coordinator_retention(keeps_removed=True)
             await asyncio.sleep(0.2)
         assert follower.keeps_removed()
-        follower.take_outage(keeps_removed=False)
-        await asyncio.sleep(TOLD_TO_KEEP_S + 0.1)
+        follower.note_coordinator_retention(keeps_removed=False)
+        await asyncio.sleep(RETENTION_NOTICE_TTL_S + 0.1)
         assert not follower.keeps_removed()
 
     run_world(test, nodes=1)
@@ -109,7 +109,7 @@
         leaving.cut_from_list()
         for node in others:
             del node.ports.upstreams.wait
-            node.follower.heard_at = world.clock.now() - 3.0
+            node.follower.current_as_of = world.clock.now() - 3.0
             await node.follower.read_once()
             assert node.directory.get(leaving.id) is None
 
--- a/mulleinreach/gateway/known/waking.py
+++ b/mulleinreach/gateway/known/waking.py
@@ -39,9 +39,9 @@
         """Look for ever."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Log a suspension since the last look."""
         now_s = self._suspended_s()
         slept_s, self._before_s = now_s - self._before_s, now_s
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -225,7 +225,7 @@
             self._all_loads,
             lambda: self.coordination.heard_nodes(),
             lambda: self.lease.token == 1,
-            self.follower.read_anew,
+            self.follower.read_now,
             self.clock,
             self.log,
         )
@@ -270,7 +270,7 @@
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
-        self._tasks.spawn(self.store_calls.tell())
+        self._tasks.spawn(self.store_calls.log_counts())
         self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
         self.log.event("node_started", callers=self.identity.callers, hall=self.identity.hall)
 
--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -101,7 +101,7 @@
         """Return how long ago no key can have been taken away without our knowing it."""
         age_s = self._in_force.evidence_age_s()
         if self._bounds.trusts_keys_in_outages:
-            return min(age_s, self._in_force.store_away_age_s())
+            return min(age_s, self._in_force.store_unreachable_age_s())
         return age_s
 
     def _deny(self, status: int, reason: str) -> Denied:
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -118,12 +118,12 @@
         watch = SuspensionMonitor(
             lambda: slept[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log
         )
-        watch.look()
+        watch.check()
         slept[0] += MIN_LOGGED_SUSPENSION_S / 2
-        watch.look()
+        watch.check()
         slept[0] += 5
-        watch.look()
-        watch.look()
+        watch.check()
+        watch.check()
         [told] = fields_of(kept, "node_woke")
         assert told == {"suspended_s": pytest.approx(5), "in_flight": 2}
 
