--- a/mulleinreach/gateway/known/upstreams.py
+++ b/mulleinreach/gateway/known/upstreams.py
@@ -101,10 +101,10 @@
     ========
 
     >>> directory = UpstreamDirectory()
-    >>> directory.replace_all(5, [], received_at=1.0)
+    >>> directory.replace_all(5, [], observed_at=1.0)
     >>> from mulleinreach.common import Address
     >>> host = Upstream("u", "s", Address("10.0.0.1", 80), "hall")
-    >>> directory.apply(ListChange(7, [host], []), received_at=2.0)
+    >>> directory.apply(ListChange(7, [host], []), observed_at=2.0)
     >>> directory.apply_report(replace(host, pace=3.0), as_of=1.9)
     False
     >>> [change.revision for change in directory.changes_since(5)]
@@ -134,7 +134,7 @@
         self,
         revision: int,
         upstreams: list[Upstream],
-        received_at: float,
+        observed_at: float,
         keeps_removed: bool = False,
     ) -> None:
         """Take a complete list."""
@@ -147,27 +147,27 @@
             self._changes_from = revision
         else:
             self._record_change(change)
-        self._apply_change(change, received_at, keeps_removed)
+        self._apply_change(change, observed_at, keeps_removed)
 
-    def apply(self, change: ListChange, received_at: float, keeps_removed: bool = False) -> None:
+    def apply(self, change: ListChange, observed_at: float, keeps_removed: bool = False) -> None:
         """Take changes that follow on the list's revision.
 
         Parameters
         ==========
 
-        received_at : when the answer that tells the change came in.
+        observed_at : when the answer that tells the change came in.
         keeps_removed : upstreams that the change removes stay until
             :meth:`drop_kept`, unless they are listed again.
         """
         self._record_change(change)
-        self._apply_change(change, received_at, keeps_removed)
+        self._apply_change(change, observed_at, keeps_removed)
 
-    def _apply_change(self, change: ListChange, received_at: float, keeps_removed: bool) -> None:
+    def _apply_change(self, change: ListChange, observed_at: float, keeps_removed: bool) -> None:
         for upstream in map(self._with_leaving_state, change.upstreams):
             self._replace_start(upstream.id)
             self._by_id[upstream.id] = upstream
-            self._changed_at[upstream.id] = received_at
-            self._note_cold(upstream, received_at)
+            self._changed_at[upstream.id] = observed_at
+            self._note_cold(upstream, observed_at)
             self._kept.discard(upstream.id)
             self._departed.pop(upstream.id, None)
         removed = [self._running[name] for name in change.removed if name in self._running]
@@ -220,9 +220,9 @@
             self._on_replaced(before)
         self._running[name] = upstream_id
 
-    def _note_cold(self, upstream: Upstream, received_at: float) -> None:
+    def _note_cold(self, upstream: Upstream, observed_at: float) -> None:
         if upstream.cold_s > 0:
-            self._cold_until[upstream.id] = received_at + upstream.cold_s
+            self._cold_until[upstream.id] = observed_at + upstream.cold_s
         else:
             self._cold_until.pop(upstream.id, None)
 
