--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -10,12 +10,12 @@
 import pytest
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.fleet.halls import failed_halls, hall_signs
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.halls import assess_hall, failed_halls
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head, UpstreamDirectory
 from mulleinreach.gateway.node import GatewayNode
@@ -191,7 +191,7 @@
             await asyncio.sleep(0.05)
         # One of each model in both domains.
         assert _open_groups_in(world, hall) >= 4
-        assert most_loads <= PROFILE.loads_at_once
+        assert most_loads <= PROFILE.max_concurrent_loads
         callers.stop()
 
     run_world(test, **HALLS)
@@ -271,7 +271,7 @@
 def test_hosts_of_a_hall_that_is_down_are_lost_until_they_show_themselves():
     async def test():
         directory, clock = UpstreamDirectory(), VirtualClock()
-        hosts = HostBook(directory, clock)
+        hosts = HostRegistry(directory, clock)
         rows = [make_upstream(name, "s", 1, "d", name[0]) for name in ("a1", "a2", "b1")]
         directory.replace_all(1, rows, clock.now())
         hosts.refresh("s")
@@ -300,11 +300,11 @@
         for n in range(4)
     ]
     told = {f"a{n}": load for n, load in enumerate(loads)}
-    nodes = [HeardNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
-    signs = [hall_signs("a", heads, told, set(), nodes)]
+    nodes = [RecentNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
+    signs = [assess_hall("a", heads, told, set(), nodes)]
     for hall, load in (("b", MOVING), ("c", third)):
         head = Head(make_upstream(hall, MODEL_SERVICE, 9, "d", hall), hall, 1, LARGE)
-        signs.append(hall_signs(hall, [head], {hall: load}, set(), nodes))
+        signs.append(assess_hall(hall, [head], {hall: load}, set(), nodes))
     return [found.hall for found in failed_halls(signs, own_hall="b")]
 
 
