--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -110,7 +110,7 @@
         f"{GATEWAY}/known/upstream_following.py",
         "if has_failed and self.list_age_s() > OUTAGE_S:",
         "if self.list_age_s() > OUTAGE_S:",
-        f"{GATEWAY}/known/tests/test_store_outage.py -k late_news",
+        f"{GATEWAY}/known/tests/test_store_outage.py -k late_answer",
     ),
     Breakage(
         "TWO",
@@ -126,7 +126,7 @@
         f"{GATEWAY}/coordination/lease.py",
         "if record is None or Resignation(record.token, record.renewal) != resignation:",
         "if record is None:",
-        f"{GATEWAY}/known/tests/test_store_outage.py -k taken_back",
+        f"{GATEWAY}/known/tests/test_store_outage.py -k superseded",
     ),
     Breakage(
         "TWO",
@@ -190,7 +190,7 @@
         f"{GATEWAY}/known/following.py",
         "if rows is not None and rows == self.operator_rows():",
         "if True:",
-        f"{GATEWAY}/known/tests/test_store_calls.py -k proves_nothing",
+        f"{GATEWAY}/known/tests/test_store_calls.py -k no_evidence",
     ),
     Breakage(
         "CONFIG",
--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -17,7 +17,7 @@
         f"{GATEWAY}/revision.py",
         "return (era << VERSION_BITS) | version",
         "return version",
-        f"{RESTORED} -k leave",
+        f"{RESTORED} -k drain",
     ),
     Breakage(
         "RESTORE",
@@ -81,7 +81,7 @@
         f"{GATEWAY}/known/upstream_following.py",
         "self._keeps_removed_until = max(self._keeps_removed_until, now + RELISTING_GRACE_S)",
         "pass",
-        f"{RESTORED} -k nobody_missed",
+        f"{RESTORED} -k short_outage",
     ),
     Breakage(
         "RESTORE",
@@ -89,7 +89,7 @@
         f"{GATEWAY}/known/upstreams.py",
         "if before is not None or listed.id not in self._departed",
         "if True",
-        f"{RESTORED} -k off_the_list",
+        f"{RESTORED} -k removed_upstream_gets",
     ),
     Breakage(
         "RESTORE",
@@ -97,7 +97,7 @@
         f"{GATEWAY}/known/upstreams.py",
         "if upstream.state is UpstreamState.DRAINING:",
         "if False:",
-        f"{RESTORED} -k outlives_the_doubt",
+        f"{RESTORED} -k drain_outlasts",
     ),
     Breakage(
         "RESTORE",
@@ -105,7 +105,7 @@
         f"{GATEWAY}/known/upstreams.py",
         "if listed.id == known.id and listed.state is UpstreamState.DRAINING:",
         "if False:",
-        f"{RESTORED} -k before_anybody",
+        f"{RESTORED} -k before_any_node",
     ),
     Breakage(
         "RESTORE",
@@ -137,7 +137,7 @@
         f"{GATEWAY}/known/following.py",
         "self._is_store_outdated = result.configuration.version < self.version",
         "self._is_store_outdated = False",
-        f"{RESTORED} -k proves",
+        f"{RESTORED} -k no_evidence",
     ),
     Breakage(
         "RESTORE",
--- a/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
+++ b/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
@@ -17,7 +17,7 @@
     return {node.in_force.version for node in world.nodes.values()}
 
 
-def test_changes_are_in_force_everywhere_for_few_calls():
+def test_changes_reach_every_node_with_few_store_calls():
     async def test(world):
         await asyncio.sleep(3)
         calls_before = world.store.calls
@@ -32,7 +32,7 @@
     run_world(test, nodes=40, domains=0)
 
 
-def test_node_that_the_store_turns_away_follows_the_configuration():
+def test_node_that_the_store_refuses_follows_the_configuration():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -67,11 +67,11 @@
     return count_operations(lambda: tracker.merge_observations(told)) / len(told)
 
 
-def test_sighting_takes_no_more_work_where_more_is_known():
+def test_cost_of_an_observation_is_independent_of_their_number():
     assert work_of(MANY_UPSTREAMS) < MORE_OFTEN * work_of(FEW_UPSTREAMS)
 
 
-def test_sightings_that_are_told_again_take_little():
+def test_repeated_observations_are_cheap():
     tracker = TrackerHarness().tracker
     told = sightings_of(MANY_UPSTREAMS)
     first = count_operations(lambda: tracker.merge_observations(told))
@@ -79,7 +79,7 @@
     assert again < SHARE_OF_TELLINGS * first
 
 
-def test_hold_that_is_handed_on_ends_when_it_would_have():
+def test_hold_passed_between_coordinators_keeps_its_expiry():
     desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
@@ -93,7 +93,7 @@
             assert not tracker.is_held(CULPRIT)
 
 
-def test_hold_that_is_handed_on_in_time_counts():
+def test_hold_passed_on_before_its_expiry_applies():
     desk = TrackerHarness()
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name)
--- a/mulleinreach/gateway/known/tests/test_crashes.py
+++ b/mulleinreach/gateway/known/tests/test_crashes.py
@@ -73,7 +73,7 @@
     return TrackerHarness()
 
 
-def test_second_end_after_a_beginning_holds_a_request(desk):
+def test_second_end_after_a_request_began_holds_it(desk):
     desk.end(CULPRIT, "u1")
     assert not desk.tracker.is_held(CULPRIT)
     desk.end(CULPRIT, "u2")
@@ -103,13 +103,13 @@
     assert desk.held == [CULPRIT]
 
 
-def test_copies_at_one_upstream_see_one_end(desk):
+def test_simultaneous_ends_at_one_upstream_count_once(desk):
     for _ in range(5):
         desk.end(CULPRIT, "u1")
     assert not desk.tracker.is_held(CULPRIT)
 
 
-def test_upstream_that_is_back_under_its_id_ends_a_second_time(desk):
+def test_later_end_of_an_upstream_with_the_same_id_counts(desk):
     desk.end(CULPRIT, "u1")
     desk.wait(3)
     desk.end(CULPRIT, "u1")
@@ -140,7 +140,7 @@
     assert desk.tracker.is_held(CULPRIT)
 
 
-def test_request_that_was_served_begins_anew(desk):
+def test_serving_a_request_resets_its_count(desk):
     desk.end(CULPRIT, "u1")
     desk.wait(0.1)
     desk.tracker.note_served(CULPRIT, upstream("u5"))
@@ -152,7 +152,7 @@
     assert desk.tracker.is_held(CULPRIT)
 
 
-def test_beginning_tells_nothing_where_all_requests_of_an_upstream_had_begun(desk):
+def test_begun_state_is_ignored_when_all_requests_of_an_upstream_had_begun(desk):
     crowd = range(10, 10 + MAX_BEGUN_REQUESTS + 1)
     for name in ("u1", "u2"):
         for content in crowd:
@@ -163,19 +163,19 @@
     assert desk.held == [crowd[0]]
 
 
-def test_request_that_is_served_often_leaves_one_sighting(desk):
+def test_request_that_is_served_often_adds_one_observation(desk):
     desk.end(CULPRIT, "u1")
     for _ in range(50):
         desk.tracker.note_served(CULPRIT, upstream("u2"))
     assert len(desk.tracker.own_observations(includes_old=True)) == 2
 
 
-def test_served_requests_that_nothing_ended_under_are_not_kept(desk):
+def test_served_requests_without_earlier_ends_are_not_recorded(desk):
     desk.tracker.note_served(CULPRIT, upstream("u1"))
     assert desk.tracker.own_observations(includes_old=True) == []
 
 
-def test_sightings_of_two_nodes_come_together():
+def test_observations_of_two_nodes_are_combined():
     first = TrackerHarness()
     second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
@@ -187,7 +187,7 @@
     assert second.held == [CULPRIT]
 
 
-def test_doubled_and_late_reports_count_once():
+def test_duplicate_and_late_reports_count_once():
     first = TrackerHarness()
     second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
@@ -198,7 +198,7 @@
     assert not second.tracker.is_held(CULPRIT)
 
 
-def test_what_others_saw_is_not_told_as_own():
+def test_observations_of_other_nodes_are_not_reported_as_own():
     first = TrackerHarness()
     second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
@@ -206,7 +206,7 @@
     assert second.tracker.own_observations(includes_old=True) == []
 
 
-def test_old_sightings_are_told_to_a_new_coordinator_only(desk):
+def test_old_observations_are_reported_to_a_new_coordinator_only(desk):
     desk.end(CULPRIT, "u1")
     desk.wait(REPORT_WINDOW_S + 0.1)
     assert desk.tracker.own_observations(includes_old=False) == []
@@ -215,7 +215,7 @@
     assert told.ago_s == pytest.approx(REPORT_WINDOW_S + 0.1)
 
 
-def test_sightings_and_holds_end(desk):
+def test_observations_and_holds_expire(desk):
     desk.end(CULPRIT, "u1")
     desk.wait(OBSERVATION_RETENTION_S + 1)
     desk.end(CULPRIT, "u2")
@@ -228,7 +228,7 @@
     assert desk.tracker.held() == ()
 
 
-def test_the_newest_are_kept_where_there_are_too_many(desk):
+def test_oldest_entries_are_evicted_at_the_limits(desk):
     for content in range(MAX_TRACKED_CONTENTS + 10):
         desk.end(content, "u1")
         desk.wait(0.01)
@@ -239,7 +239,7 @@
     assert not desk.tracker.is_held(1000)
 
 
-def test_report_that_was_delayed_counts_from_when_it_was_written():
+def test_delayed_report_is_dated_from_when_it_was_written():
     first = TrackerHarness()
     second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -17,7 +17,7 @@
     return world.fabric.hosts[head.upstream.id]
 
 
-def test_report_from_before_a_host_left_does_not_put_it_back():
+def test_report_from_before_a_host_left_its_group_is_discarded():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -34,7 +34,7 @@
     run_world(test)
 
 
-def test_report_changes_nothing_that_it_does_not_tell():
+def test_report_leaves_the_drain_state_unchanged():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -49,7 +49,7 @@
     run_world(test)
 
 
-def test_head_that_has_just_left_is_joined_without_another_try():
+def test_group_is_formed_again_without_a_retry_after_a_member_fails():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
--- a/mulleinreach/gateway/known/tests/test_restored_store.py
+++ b/mulleinreach/gateway/known/tests/test_restored_store.py
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("writes_at_once", WRITES_AT_ONCE)
 @pytest.mark.parametrize("lost_writes", LOST_WRITES)
-def test_leave_that_is_told_after_the_store_was_restored_is_heeded(lost_writes, writes_at_once):
+def test_drain_written_after_a_restore_takes_effect(lost_writes, writes_at_once):
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, writes_at_once=writes_at_once):
@@ -98,7 +98,7 @@
     _run(test)
 
 
-def test_leave_that_is_told_before_anybody_has_read_the_copy_is_heeded():
+def test_drain_written_before_any_node_reads_the_copy_takes_effect():
     async def test(world):
         await _serve(world)
         copy = world.store.copy()
@@ -115,7 +115,7 @@
     _run(test)
 
 
-def test_upstream_that_said_it_leaves_stays_so_when_the_store_has_forgotten_that():
+def test_draining_upstream_stays_draining_when_a_restore_loses_its_drain():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, age_s=HEARD_S):
@@ -128,7 +128,7 @@
     _run(test)
 
 
-def test_upstream_that_was_off_the_list_gets_nothing_when_the_copy_still_names_it():
+def test_removed_upstream_gets_no_requests_when_the_copy_lists_it():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, age_s=1):
@@ -146,7 +146,7 @@
     _run(test)
 
 
-def test_upstream_that_the_copy_names_is_used_again_if_it_lives():
+def test_removed_upstream_in_the_copy_is_used_again_if_its_row_persists():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, age_s=1):
@@ -158,7 +158,7 @@
     _run(test)
 
 
-def test_upstream_that_the_copy_lacks_serves_on():
+def test_upstream_missing_from_the_copy_keeps_serving():
     async def test(world):
         await _serve(world, 1)
         async with restored_after(world.store):
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.0, 0.3])
-def test_upstream_that_the_copy_lacks_serves_on_though_nobody_missed_the_store(away_s):
+def test_upstream_missing_from_the_copy_serves_after_a_short_outage(away_s):
     async def test(world):
         await _serve(world, 1)
         async with restored_after(world.store, away_s=away_s):
@@ -187,7 +187,7 @@
     _run(test)
 
 
-def test_word_that_an_upstream_leaves_outlives_the_doubt_about_a_copy():
+def test_drain_outlasts_the_untrusted_period():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, age_s=HEARD_S):
@@ -203,7 +203,7 @@
     _run(test)
 
 
-def test_upstream_that_the_copy_lacks_and_that_is_not_back_is_gone():
+def test_upstream_missing_from_the_copy_is_removed_if_it_is_not_relisted():
     async def test(world):
         await _serve(world, 1)
         async with restored_after(world.store):
@@ -214,7 +214,7 @@
     _run(test)
 
 
-def test_start_that_a_later_one_has_replaced_is_not_taken_from_the_copy():
+def test_replaced_start_is_not_taken_from_the_copy():
     async def test(world):
         await _serve(world, 1)
         address = Address("10.0.0.77", 9977)
@@ -233,7 +233,7 @@
     _run(test)
 
 
-def test_nodes_stop_reading_for_themselves_once_the_store_is_restored():
+def test_nodes_stop_direct_reads_once_the_store_is_restored():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store):
@@ -249,7 +249,7 @@
 
 @pytest.mark.parametrize("writes_at_once", WRITES_AT_ONCE)
 @pytest.mark.parametrize("lost_writes", LOST_WRITES)
-def test_evacuation_that_is_asked_for_after_the_restore_is_heeded(lost_writes, writes_at_once):
+def test_evacuation_written_after_the_restore_takes_effect(lost_writes, writes_at_once):
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, writes_at_once=writes_at_once):
@@ -263,7 +263,7 @@
     _run(test, halls=2)
 
 
-def test_evacuation_that_the_copy_lacks_holds_until_it_is_written_again():
+def test_evacuation_missing_from_the_copy_stays_until_it_is_rewritten():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store):
@@ -284,7 +284,7 @@
     _run(test, halls=2)
 
 
-def test_evacuation_that_the_copy_lacks_outlives_another_row_that_is_written():
+def test_evacuation_missing_from_the_copy_survives_a_write_of_another_row():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store):
@@ -299,7 +299,7 @@
     _run(test, halls=2)
 
 
-def test_evacuation_that_is_not_written_again_ends():
+def test_evacuation_that_is_not_rewritten_expires():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store):
@@ -312,7 +312,7 @@
 
 
 @pytest.mark.parametrize("writes_at_once", WRITES_AT_ONCE)
-def test_configuration_that_is_written_after_the_restore_is_in_force(writes_at_once):
+def test_configuration_written_after_the_restore_takes_effect(writes_at_once):
     async def test(world):
         await _serve(world)
         async with restored_after(world.store, writes_at_once=writes_at_once):
@@ -331,7 +331,7 @@
     _run(test)
 
 
-def test_older_configuration_of_a_copy_proves_nothing():
+def test_older_configuration_of_a_copy_is_no_evidence():
     async def test(world):
         await _serve(world)
         async with restored_after(world.store):
@@ -349,7 +349,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.4, 2.4, 6.0])
-def test_groups_serve_on_when_the_copy_knows_nothing_of_them(away_s):
+def test_groups_keep_serving_when_the_copy_lacks_them(away_s):
     async def test(world):
         copy = world.store.copy()
         await world.until_formed()
--- a/mulleinreach/gateway/known/tests/test_starts.py
+++ b/mulleinreach/gateway/known/tests/test_starts.py
@@ -35,13 +35,13 @@
     assert len(directory) == 2
 
 
-def test_start_whose_clock_was_set_back_replaces_too():
+def test_start_with_an_earlier_timestamp_replaces_a_later_one():
     directory = directory_with(SECOND)
     directory.apply(ListChange(7, [FIRST], []), observed_at=2.0)
     assert directory.ids() == [FIRST.id]
 
 
-def test_whole_list_replaces_starts():
+def test_full_list_replaces_starts():
     replaced = []
     directory = directory_with(FIRST, replaced=replaced)
     directory.replace_all(9, [SECOND], observed_at=2.0)
@@ -51,7 +51,7 @@
     assert (change.upstreams, change.removed) == ([SECOND], [])
 
 
-def test_changes_that_are_passed_on_replace_starts_at_other_nodes():
+def test_forwarded_changes_replace_starts_at_other_nodes():
     coordinator, follower = directory_with(FIRST), directory_with(FIRST)
     coordinator.apply(ListChange(7, [SECOND], []), observed_at=2.0)
     coordinator.apply(ListChange(8, [], ["u"]), observed_at=3.0)
@@ -60,14 +60,14 @@
     assert coordinator.ids() == follower.ids() == []
 
 
-def test_removal_names_whichever_start_runs():
+def test_removal_by_name_applies_to_the_running_start():
     directory = directory_with(SECOND)
     directory.apply(ListChange(7, [], ["u"]), observed_at=2.0)
     assert directory.ids() == []
     assert not directory.is_replaced(SECOND.id)
 
 
-def test_earlier_start_is_not_kept_over_an_outage_once_a_later_one_is_listed():
+def test_earlier_start_is_not_retained_once_a_later_one_is_listed():
     directory = directory_with(FIRST)
     directory.apply(ListChange(7, [], ["u"]), observed_at=2.0, keeps_removed=True)
     assert directory.ids() == [FIRST.id]
@@ -77,7 +77,7 @@
     assert directory.ids() == [SECOND.id]
 
 
-def test_report_of_an_earlier_start_is_put_aside():
+def test_report_of_an_earlier_start_is_discarded():
     directory = directory_with(FIRST)
     directory.apply(ListChange(7, [SECOND], []), observed_at=2.0)
     assert not directory.apply_report(FIRST, as_of=9.0)
--- a/mulleinreach/gateway/known/tests/test_store_calls.py
+++ b/mulleinreach/gateway/known/tests/test_store_calls.py
@@ -25,7 +25,7 @@
     return world.store.calls - before
 
 
-def test_calm_deployment_makes_three_calls_a_second_at_most():
+def test_idle_deployment_makes_three_store_calls_a_second_at_most():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("silent", ["configuration", "upstreams"])
-def test_wait_that_has_fallen_silent_is_noticed(silent):
+def test_long_poll_that_stops_responding_is_detected(silent):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -80,7 +80,7 @@
     run_world(test, nodes=3)
 
 
-def test_list_is_read_often_only_while_somebody_waits_for_it():
+def test_list_reads_are_batched_unless_a_change_is_urgent():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -106,7 +106,7 @@
         ("loses", 9, 4),
     ],
 )
-def test_outage_costs_a_few_times_what_a_calm_time_does(outage, nodes, factor):
+def test_outage_multiplies_store_calls_by_a_small_factor(outage, nodes, factor):
     async def test(world):
         await asyncio.sleep(12)
         calm = await count_calls(world, OUTAGE_S)
@@ -123,7 +123,7 @@
     run_world(test, nodes=nodes, domains=0)
 
 
-def test_start_of_a_node_beside_a_coordinator_takes_two_calls_at_most():
+def test_node_start_with_a_coordinator_takes_two_store_calls_at_most():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("rows", [None, OperatorRows(1)])
-def test_renewal_that_named_no_or_another_configuration_proves_nothing(rows):
+def test_renewal_for_other_operator_rows_is_no_evidence(rows):
     async def test(world):
         await asyncio.sleep(3)
         holder = world.nodes[world.coordinator()]
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -32,7 +32,7 @@
     return {host.standing.epoch for host in world.fabric.hosts.values() if host.standing}
 
 
-def test_hosts_whose_rows_lapsed_in_an_outage_serve_on():
+def test_hosts_whose_rows_expired_in_an_outage_keep_serving():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -52,7 +52,7 @@
     run_world(test, nodes=3)
 
 
-def test_a_coordinator_s_word_that_it_keeps_upstreams_holds_for_as_long_as_it_is_given():
+def test_retention_follows_the_coordinator_s_flag():
     async def test(world):
         await world.until_formed()
         follower = world.nodes["node-0"].follower
@@ -67,7 +67,7 @@
     run_world(test, nodes=1)
 
 
-def test_host_still_missing_after_an_outage_is_taken_as_gone():
+def test_host_still_missing_after_an_outage_is_removed():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -83,7 +83,7 @@
     run_world(test, nodes=3)
 
 
-def test_host_that_leaves_while_the_store_works_is_gone_at_once():
+def test_host_that_leaves_while_the_store_works_is_removed_at_once():
     async def test(world):
         await world.until_formed()
         leaving = next(iter(world.fabric.hosts.values()))
@@ -95,7 +95,7 @@
     run_world(test, nodes=3)
 
 
-def test_late_news_alone_keeps_no_host_that_left():
+def test_late_answer_without_an_outage_retains_no_removed_host():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -120,7 +120,7 @@
     await asyncio.sleep(3600)
 
 
-def test_coordinator_goes_on_after_an_outage_of_the_store():
+def test_coordinator_keeps_its_lease_across_a_store_outage():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -140,7 +140,7 @@
     run_world(test, nodes=4)
 
 
-def test_outage_of_the_store_costs_few_calls():
+def test_store_outage_causes_few_calls_per_node():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -153,7 +153,7 @@
     run_world(test, nodes=10, domains=1)
 
 
-def test_coordinator_that_the_store_turns_away_is_followed_before_its_row_lapses():
+def test_coordinator_that_the_store_refuses_is_replaced_before_its_lease_expires():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -168,7 +168,7 @@
     run_world(test, nodes=4)
 
 
-def test_resignation_that_was_taken_back_is_not_used():
+def test_superseded_resignation_is_rejected():
     async def test(world):
         await world.until_formed()
         old = world.nodes[world.coordinator()]
@@ -194,7 +194,7 @@
     run_world(test, nodes=30, domains=0)
 
 
-def test_rows_older_than_what_the_hosts_do_free_nobody():
+def test_stale_rows_do_not_free_hosts_from_their_group():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("back_after_s", [0.5, BACK_AFTER_S])
-def test_nodes_that_start_after_an_outage_leave_groups_whose_rows_lapsed_alone(back_after_s):
+def test_nodes_that_start_after_an_outage_keep_groups_whose_rows_expired(back_after_s):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -240,7 +240,7 @@
     run_world(test, nodes=3)
 
 
-def test_group_whose_head_is_gone_when_a_coordinator_starts_is_formed_anew():
+def test_group_whose_head_is_gone_when_a_coordinator_starts_is_formed_again():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/known/tests/test_store_turns.py
@@ -20,7 +20,7 @@
 LARGE_SITE = DeploymentBounds(leaving_propagation_s=4.0, config_propagation_s=4.0)
 
 
-def test_node_that_loses_its_coordinator_asks_soon_whatever_it_waited_for():
+def test_node_that_loses_its_coordinator_retries_soon():
     async def test():
         role = [StoreRole.FOLLOWER]
         calls = StoreCalls(
@@ -40,12 +40,12 @@
     run_virtual(test())
 
 
-def test_node_with_a_coordinator_asks_again_within_seconds_at_any_size():
+def test_follower_pause_is_bounded_at_any_deployment_size():
     assert pause_s(StoreRole.FOLLOWER, 1000, 1) <= 5.0
 
 
 @pytest.mark.parametrize("cores", [0.5, 2.0])
-def test_turn_leaves_time_to_read_within_the_bounds(cores):
+def test_schedule_leaves_time_to_read_within_the_bounds(cores):
     turns = [direct_read_schedule(LARGE_SITE, cores, False, random.Random(n)) for n in range(200)]
     assert all(1.5 + turn.extra_s < 3.1 for turn in turns)
     small = direct_read_schedule(DeploymentBounds(), cores, False, random.Random(1))
@@ -54,7 +54,7 @@
     assert direct_read_schedule(tight, cores, False, random.Random(1)).extra_s == 0
 
 
-def test_nodes_with_much_processor_time_ask_first():
+def test_nodes_with_ample_cores_read_first():
     ample = [
         direct_read_schedule(LARGE_SITE, 2.0, False, random.Random(n)).extra_s for n in range(15)
     ]
--- a/mulleinreach/gateway/known/tests/test_told_changes.py
+++ b/mulleinreach/gateway/known/tests/test_told_changes.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("is_coordinator", [True, False])
-def test_changes_are_told_by_the_node_that_reads_and_by_those_it_tells(is_coordinator):
+def test_changes_are_logged_by_the_coordinator_and_its_followers(is_coordinator):
     async def test(world):
         plain = await world.add_plain("desk-0", echo_path)
         await asyncio.sleep(2)
@@ -37,7 +37,7 @@
     run_world(test, domains=0)
 
 
-def test_many_new_upstreams_are_counted_and_only_the_first_are_named():
+def test_log_line_counts_new_upstreams_and_names_only_the_first():
     async def test(world):
         await asyncio.sleep(2)
         kept = record_events(world.nodes[world.coordinator()])
