--- a/mulleinreach/gateway/known/crashes.py
+++ b/mulleinreach/gateway/known/crashes.py
@@ -137,22 +137,29 @@
     def merge_observations(self, observations: Iterable[RunObservation]) -> None:
         """Take what another node saw, and may have told before."""
         now = self._clock.now()
-        for told in observations:
-            if told.id in self._known_ids:
+        for observation in observations:
+            if observation.id in self._known_ids:
                 continue
-            at = now - told.ago_s
+            at = now - observation.ago_s
             self._add(
-                ObservedRun(told.id, told.content, told.upstream_id, told.hall, told.outcome, at)
+                ObservedRun(
+                    observation.id,
+                    observation.content,
+                    observation.upstream_id,
+                    observation.hall,
+                    observation.outcome,
+                    at,
+                )
             )
 
     def own_observations(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw itself, lately or ever."""
         now = self._clock.now()
         oldest = now - (OBSERVATION_RETENTION_S if includes_old else REPORT_WINDOW_S)
-        told = itertools.takewhile(lambda seen: seen.at >= oldest, reversed(self._own))
+        recent = itertools.takewhile(lambda seen: seen.at >= oldest, reversed(self._own))
         return [
             RunObservation(s.id, s.content, s.upstream_id, s.hall, s.outcome, now - s.at)
-            for s in reversed(list(told))
+            for s in reversed(list(recent))
         ]
 
     def _add(self, seen: ObservedRun) -> None:
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -151,34 +151,34 @@
 
     async def read_once(self) -> None:
         """Read, or wait for a change, and take in the answer."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         if self._revision is None:
             result = await self._source.read()
         else:
             result = await self._source.wait(self._revision, self._state.wait_s())
         if isinstance(result, ConfigurationRead):
-            if not self._take(result, asked_at):
+            if not self._take(result, requested_at):
                 await asyncio.sleep(STALE_ANSWER_PAUSE_S)
         elif isinstance(result, HistoryLost):
             self._revision = None
         else:
-            self._state.lost(result.reason)
+            self._state.record_failure(result.reason)
 
     async def read_now(self) -> None:
         """Read the configuration now, beside a wait that may be under way."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         result = await self._source.read()
         if isinstance(result, ConfigurationRead):
-            self._take(result, asked_at)
+            self._take(result, requested_at)
         else:
-            self._state.lost(result.reason)
+            self._state.record_failure(result.reason)
 
-    def confirm(self, rows: OperatorRows | None, asked_at: float) -> None:
+    def confirm(self, rows: OperatorRows | None, requested_at: float) -> None:
         """Take in that the operators' rows had these versions at a moment."""
         if rows is not None and rows == self.operator_rows():
-            self.evidence_at = max(self.evidence_at, asked_at)
+            self.evidence_at = max(self.evidence_at, requested_at)
 
-    def _take(self, result: ConfigurationRead, asked_at: float) -> bool:
+    def _take(self, result: ConfigurationRead, requested_at: float) -> bool:
         """Take an answer in, unless a newer one is known; returns whether it was taken."""
         if self._revision is not None and result.revision < self._revision:
             self._log.event(
@@ -189,7 +189,7 @@
                 known=format_revision(self._revision),
             )
             return False
-        self._state.answered()
+        self._state.record_answer()
         self._revision = result.revision
         self.evacuations.take_rows(
             result.evacuations, result.is_whole, result.revision, self.evidence_at
@@ -199,7 +199,7 @@
             self._is_store_outdated = result.configuration.version < self.version
             self._row_version = None if self._is_store_outdated else result.row_version
         if not self._is_store_outdated:
-            self.evidence_at = max(self.evidence_at, asked_at)
+            self.evidence_at = max(self.evidence_at, requested_at)
         if self.configuration is not None:
             self.was_read.set()
         return True
--- a/mulleinreach/gateway/known/notices.py
+++ b/mulleinreach/gateway/known/notices.py
@@ -60,7 +60,7 @@
         # By the id of a start: a later one has asked for nothing.
         self._rests: dict[str, _RequestedRest] = {}
 
-    def take(self, upstream: Upstream, notice: Notice) -> None:
+    def record(self, upstream: Upstream, notice: Notice) -> None:
         """Take what an answer says of the upstream that gave it."""
         is_news = notice.is_leaving and self._directory.mark_leaving(upstream.id)
         if notice.rest_s:
--- a/mulleinreach/gateway/known/reading.py
+++ b/mulleinreach/gateway/known/reading.py
@@ -50,13 +50,13 @@
             return PROBE_WAIT_S
         return READER_WAIT_S if self._is_reader() else FOLLOWER_WAIT_S
 
-    def lost(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         """Note a failed read."""
         if not self.is_lost:
             self._log.event("dependency_lost", dependency=self._name, why=reason)
         self.is_lost = True
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """Note a read that worked."""
         if self.is_lost:
             self._log.event("dependency_regained", dependency=self._name)
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -16,12 +16,12 @@
 REQUESTS_EACH = 17
 FEW_UPSTREAMS, MANY_UPSTREAMS = 6, 48
 # Some more is allowed for what grows with the logarithm, and for ends of one hall.
-MORE_OFTEN = 1.5
+MAX_COST_RATIO = 1.5
 # The loss of 100 upstreams may take 20 ms, and to be told of it ten times 10 ms more.
-TELLINGS = 10
-SHARE_OF_TELLINGS = 0.5
+REPEATS = 10
+MAX_REPEAT_COST_RATIO = 0.5
 # Coordinators are replaced each half hour for a day.
-BETWEEN_COORDINATORS_S = 1800.0
+COORDINATOR_INTERVAL_S = 1800.0
 COORDINATORS = 48
 
 
@@ -43,7 +43,7 @@
     return count
 
 
-def sightings_of(upstreams: int) -> list[RunObservation]:
+def make_observations(upstreams: int) -> list[RunObservation]:
     """Return what a node tells when upstreams of two halls end under many requests each."""
     rng = random.Random(upstreams)
     return [
@@ -60,47 +60,51 @@
     ]
 
 
-def work_of(upstreams: int) -> float:
+def operations_per_observation(upstreams: int) -> float:
     """Return how many operations a sighting takes where so many upstreams end at once."""
     tracker: CrashTracker = TrackerHarness().tracker
-    told = sightings_of(upstreams)
-    return count_operations(lambda: tracker.merge_observations(told)) / len(told)
+    observations = make_observations(upstreams)
+    return count_operations(lambda: tracker.merge_observations(observations)) / len(observations)
 
 
 def test_cost_of_an_observation_is_independent_of_their_number():
-    assert work_of(MANY_UPSTREAMS) < MORE_OFTEN * work_of(FEW_UPSTREAMS)
+    assert operations_per_observation(MANY_UPSTREAMS) < MAX_COST_RATIO * operations_per_observation(
+        FEW_UPSTREAMS
+    )
 
 
 def test_repeated_observations_are_cheap():
     tracker = TrackerHarness().tracker
-    told = sightings_of(MANY_UPSTREAMS)
-    first = count_operations(lambda: tracker.merge_observations(told))
-    again = count_operations(lambda: [tracker.merge_observations(told) for _ in range(TELLINGS)])
-    assert again < SHARE_OF_TELLINGS * first
+    observations = make_observations(MANY_UPSTREAMS)
+    first = count_operations(lambda: tracker.merge_observations(observations))
+    again = count_operations(
+        lambda: [tracker.merge_observations(observations) for _ in range(REPEATS)]
+    )
+    assert again < MAX_REPEAT_COST_RATIO * first
 
 
 def test_hold_passed_between_coordinators_keeps_its_expiry():
-    desk = TrackerHarness()
+    harness = TrackerHarness()
     for name in ("u1", "u2"):
-        desk.end(CULPRIT, name)
-    tracker = desk.tracker
+        harness.end(CULPRIT, name)
+    tracker = harness.tracker
     for _ in range(COORDINATORS):
-        desk.wait(BETWEEN_COORDINATORS_S)
-        later = TrackerHarness(desk.clock).tracker
+        harness.wait(COORDINATOR_INTERVAL_S)
+        later = TrackerHarness(harness.clock).tracker
         later.merge_held(tracker.held())
         tracker = later
-        if desk.clock.now() >= 1000.0 + HOLD_S:
+        if harness.clock.now() >= 1000.0 + HOLD_S:
             assert not tracker.is_held(CULPRIT)
 
 
 def test_hold_passed_on_before_its_expiry_applies():
-    desk = TrackerHarness()
+    harness = TrackerHarness()
     for name in ("u1", "u2"):
-        desk.end(CULPRIT, name)
-    desk.wait(HOLD_S / 2)
-    later = TrackerHarness(desk.clock)
-    later.tracker.merge_held(desk.tracker.held())
-    desk.wait(HOLD_S / 2 - 1)
+        harness.end(CULPRIT, name)
+    harness.wait(HOLD_S / 2)
+    later = TrackerHarness(harness.clock)
+    later.tracker.merge_held(harness.tracker.held())
+    harness.wait(HOLD_S / 2 - 1)
     assert later.tracker.is_held(CULPRIT)
-    desk.wait(2)
+    harness.wait(2)
     assert not later.tracker.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_starts.py
+++ b/mulleinreach/gateway/known/tests/test_starts.py
@@ -73,7 +73,7 @@
     assert directory.ids() == [FIRST.id]
     directory.apply(ListChange(8, [SECOND], []), observed_at=2.5, keeps_removed=True)
     assert directory.ids() == [SECOND.id]
-    assert directory.drop_kept() == 0
+    assert directory.drop_retained() == 0
     assert directory.ids() == [SECOND.id]
 
 
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -16,10 +16,10 @@
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
 
 OUTAGE_S = 4.0
-BACK_AFTER_S = 1.8
+RELIST_DELAY_S = 1.8
 
 
-async def _lapse_all(world) -> None:
+async def _expire_all_rows(world) -> None:
     """Take the store away, and return it without the hosts' rows."""
     world.store.is_down = True
     await asyncio.sleep(OUTAGE_S)
@@ -37,8 +37,8 @@
         await world.until_formed()
         await asyncio.sleep(3)
         epochs = _epochs(world)
-        await _lapse_all(world)
-        for _ in range(int(BACK_AFTER_S / 0.1)):
+        await _expire_all_rows(world)
+        for _ in range(int(RELIST_DELAY_S / 0.1)):
             await asyncio.sleep(0.1)
             for name in world.nodes:
                 assert world.open_groups(LARGE, name) == 2
@@ -71,7 +71,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        await _lapse_all(world)
+        await _expire_all_rows(world)
         missing, *others = world.fabric.hosts.values()
         for host in others:
             host.list_again()
@@ -212,7 +212,7 @@
     run_world(test)
 
 
-@pytest.mark.parametrize("back_after_s", [0.5, BACK_AFTER_S])
+@pytest.mark.parametrize("back_after_s", [0.5, RELIST_DELAY_S])
 def test_nodes_that_start_after_an_outage_keep_groups_whose_rows_expired(back_after_s):
     async def test(world):
         await world.until_formed()
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/known/tests/test_store_turns.py
@@ -16,7 +16,7 @@
 from mulleinreach.gateway.ports import Unavailable
 from mulleinreach.standins.virtual import run_virtual
 
-MANY = 195
+MANY_NODES = 195
 LARGE_SITE = DeploymentBounds(leaving_propagation_s=4.0, config_propagation_s=4.0)
 
 
@@ -28,14 +28,14 @@
             EventLog("a"),
             VirtualClock(),
             random.Random(1),
-            lambda failures: pause_s(role[0], MANY, failures),
+            lambda failures: pause_s(role[0], MANY_NODES, failures),
         )
         calls.count("configuration_wait", Unavailable("turned away"))
-        asking = asyncio.create_task(calls.admit())
+        admission = asyncio.create_task(calls.admit())
         await asyncio.sleep(0.5)
-        assert not asking.done()
+        assert not admission.done()
         role[0] = StoreRole.NO_COORDINATOR
-        await asyncio.wait_for(asking, 0.6)
+        await asyncio.wait_for(admission, 0.6)
 
     run_virtual(test())
 
@@ -46,8 +46,10 @@
 
 @pytest.mark.parametrize("cores", [0.5, 2.0])
 def test_schedule_leaves_time_to_read_within_the_bounds(cores):
-    turns = [direct_read_schedule(LARGE_SITE, cores, False, random.Random(n)) for n in range(200)]
-    assert all(1.5 + turn.extra_s < 3.1 for turn in turns)
+    schedules = [
+        direct_read_schedule(LARGE_SITE, cores, False, random.Random(n)) for n in range(200)
+    ]
+    assert all(1.5 + schedule.extra_s < 3.1 for schedule in schedules)
     small = direct_read_schedule(DeploymentBounds(), cores, False, random.Random(1))
     assert small.extra_s == 0
     tight = replace(LARGE_SITE, evacuation_s=2.5)
--- a/mulleinreach/gateway/known/told_changes.py
+++ b/mulleinreach/gateway/known/told_changes.py
@@ -16,7 +16,7 @@
     known = {upstream.id: directory.get(upstream.id) for upstream in change.upstreams}
     new = [upstream_id for upstream_id, before in known.items() if before is None]
     changed = [u.id for u in change.upstreams if known[u.id] not in (None, u)]
-    removed = [gone for gone in change.removed if directory.running(gone) is not None]
+    removed = [name for name in change.removed if directory.running(name) is not None]
     started_again = [u.id for u in change.upstreams if directory.is_replaced(u.id)]
     if not (new or changed or removed):
         return
--- a/mulleinreach/gateway/known/turns.py
+++ b/mulleinreach/gateway/known/turns.py
@@ -30,7 +30,7 @@
 ) -> DirectReadSchedule:
     """Return the turn of a node; nodes that miss the coordinator don't all ask at once."""
     tightest_s = min(bounds.leaving_propagation_s, bounds.config_propagation_s, bounds.evacuation_s)
-    spread_s = max(0.0, tightest_s - MAX_DIRECT_READ_DELAY_S)
-    part = AMPLE_CORES_RANGE if processor_cores >= AMPLE_CORES else SCARCE_CORES_RANGE
+    slack_s = max(0.0, tightest_s - MAX_DIRECT_READ_DELAY_S)
+    fraction_range = AMPLE_CORES_RANGE if processor_cores >= AMPLE_CORES else SCARCE_CORES_RANGE
     start_wait_s = FIRST_START_WAIT_S if is_first_start else START_WAIT_S
-    return DirectReadSchedule(start_wait_s, spread_s * rng.uniform(*part))
+    return DirectReadSchedule(start_wait_s, slack_s * rng.uniform(*fraction_range))
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -138,7 +138,7 @@
         """Read for ever, as far as changes aren't passed on."""
         await wait_for_coordinator(self.was_read, self._schedule, self._is_reader)
         while True:
-            self._drop_kept()
+            self._drop_retained()
             if self._must_read():
                 if await self.read_once():
                     await self._wait_for_batch()
@@ -161,13 +161,13 @@
         """Whether a list that was doubted has to be read once more."""
         return self._was_untrusted and self._clock.now() >= self._untrusted_until
 
-    def confirm(self, asked_at: float) -> None:
-        """Take in that the store answered another call that was sent at ``asked_at``.
+    def confirm(self, requested_at: float) -> None:
+        """Take in that the store answered another call that was sent at ``requested_at``.
 
         A wait that was under way then, and still is, would have told of a change.
         """
-        if self._waiting_since is not None and self._waiting_since < asked_at:
-            self.current_as_of = max(self.current_as_of, asked_at - CHANGE_DELIVERY_S)
+        if self._waiting_since is not None and self._waiting_since < requested_at:
+            self.current_as_of = max(self.current_as_of, requested_at - CHANGE_DELIVERY_S)
 
     def note_store_failed(self) -> None:
         """Note that the store has just failed to answer another call."""
@@ -218,10 +218,10 @@
         """Whether the store was away so lately that upstreams off the list may be back."""
         return self._clock.now() < self._keeps_removed_until
 
-    def _drop_kept(self) -> None:
+    def _drop_retained(self) -> None:
         if self.keeps_removed() or self.list_age_s() > OUTAGE_S:
             return
-        dropped = self._directory.drop_kept()
+        dropped = self._directory.drop_retained()
         if dropped:
             self._log.event("lapsed_upstreams_dropped", count=dropped)
             self._on_change()
@@ -230,8 +230,8 @@
         """Read, or wait for a change, and take in the answer; returns whether it told any."""
         if self._must_read_all or self._must_reread():
             return await self.read_now()
-        asked_at, wait_s = self._clock.now(), self._wait_s()
-        self._waiting_since = asked_at
+        requested_at, wait_s = self._clock.now(), self._wait_s()
+        self._waiting_since = requested_at
         result = await self._source.wait(self._directory.revision, wait_s)
         self._waiting_since = None
         if isinstance(result, Unavailable):
@@ -240,10 +240,10 @@
             self._must_read_all = True
         else:
             has_changes = bool(result.upstreams or result.removed)
-            if not has_changes and self._clock.now() - asked_at >= wait_s:
+            if not has_changes and self._clock.now() - requested_at >= wait_s:
                 # The store would have answered sooner if anything had changed meanwhile.
-                asked_at += wait_s
-            self._take(result, False, asked_at)
+                requested_at += wait_s
+            self._take(result, False, requested_at)
             return has_changes
         return False
 
@@ -252,12 +252,12 @@
 
         Returns whether the store has answered.
         """
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         result = await self._source.read()
         if isinstance(result, Unavailable):
             self._note_failure(result)
             return False
-        self._take(result, is_full=True, asked_at=asked_at)
+        self._take(result, is_full=True, requested_at=requested_at)
         return True
 
     @property
@@ -277,10 +277,10 @@
 
     def _note_failure(self, failure: Unavailable) -> None:
         self._failed_at = self._clock.now()
-        self._state.lost(failure.reason)
+        self._state.record_failure(failure.reason)
 
-    def _take(self, result: UpstreamsRead, is_full: bool, asked_at: float) -> None:
-        self._state.answered()
+    def _take(self, result: UpstreamsRead, is_full: bool, requested_at: float) -> None:
+        self._state.record_answer()
         own = self._directory.revision
         if own is not None and result.revision < own:
             # A wait that began before a newer read; the next one continues from that.
@@ -298,7 +298,7 @@
         if own is not None:
             self._detect_restore(result.revision)
         self._log_unusable_rows(result, is_full)
-        self.current_as_of = max(self.current_as_of, asked_at)
+        self.current_as_of = max(self.current_as_of, requested_at)
         now, keeps_removed = self._clock.now(), self.keeps_removed()
         if is_full:
             upstreams = self._reconcile(result.upstreams)
--- a/mulleinreach/gateway/known/upstreams.py
+++ b/mulleinreach/gateway/known/upstreams.py
@@ -122,7 +122,7 @@
         self._running: dict[str, str] = {}
         self._changed_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
-        self._kept: set[str] = set()
+        self._retained: set[str] = set()
         # Ids in the order in which their upstreams said that they leave, and went off the list.
         self._leaving: dict[str, None] = {}
         self._departed: dict[str, None] = {}
@@ -157,7 +157,7 @@
 
         observed_at : when the answer that tells the change came in.
         keeps_removed : upstreams that the change removes stay until
-            :meth:`drop_kept`, unless they are listed again.
+            :meth:`drop_retained`, unless they are listed again.
         """
         self._record_change(change)
         self._apply_change(change, observed_at, keeps_removed)
@@ -168,11 +168,11 @@
             self._by_id[upstream.id] = upstream
             self._changed_at[upstream.id] = observed_at
             self._note_cold(upstream, observed_at)
-            self._kept.discard(upstream.id)
+            self._retained.discard(upstream.id)
             self._departed.pop(upstream.id, None)
         removed = [self._running[name] for name in change.removed if name in self._running]
         if keeps_removed:
-            self._kept.update(removed)
+            self._retained.update(removed)
         else:
             for upstream_id in removed:
                 self._drop(upstream_id)
@@ -226,9 +226,9 @@
         else:
             self._cold_until.pop(upstream.id, None)
 
-    def drop_kept(self) -> int:
+    def drop_retained(self) -> int:
         """Remove the upstreams that were kept and not listed again; returns how many."""
-        kept = list(self._kept)
+        kept = list(self._retained)
         for upstream_id in kept:
             self._drop(upstream_id)
             _add_bounded(self._departed, upstream_id)
@@ -239,7 +239,7 @@
         self._running.pop(upstream_name(upstream_id), None)
         self._changed_at.pop(upstream_id, None)
         self._cold_until.pop(upstream_id, None)
-        self._kept.discard(upstream_id)
+        self._retained.discard(upstream_id)
 
     def _record_change(self, change: ListChange) -> None:
         if change.upstreams or change.removed:
--- a/mulleinreach/gateway/known/waking.py
+++ b/mulleinreach/gateway/known/waking.py
@@ -33,7 +33,7 @@
         self._suspended_s = suspended_s
         self._describe = describe
         self._log = log
-        self._before_s = suspended_s()
+        self._previous_s = suspended_s()
 
     async def run(self) -> None:
         """Look for ever."""
@@ -44,6 +44,6 @@
     def check(self) -> None:
         """Log a suspension since the last look."""
         now_s = self._suspended_s()
-        slept_s, self._before_s = now_s - self._before_s, now_s
+        slept_s, self._previous_s = now_s - self._previous_s, now_s
         if slept_s >= MIN_LOGGED_SUSPENSION_S:
             self._log.event("node_woke", suspended_s=slept_s, **self._describe())
