--- a/mulleinreach/gateway/known/__init__.py
+++ b/mulleinreach/gateway/known/__init__.py
@@ -1,1 +1,1 @@
-"""What a node knows of configuration, upstreams and their load, and how it hears of it."""
+"""A node's view of the configuration, the upstreams and their load, and how it is updated."""
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -1,13 +1,12 @@
-"""Follows what operators write, and dates what is known of it.
+"""Keeps the configuration up to date, and tracks how current it is.
 
 Explanation
 ===========
 
-What a read proves is dated from before it was asked for, on the steady clock. A
-wait that gives no answer proves nothing. Versions only rise within a life: an
-answer that is older than what is known already is put aside. A store that was restored may
-hold an older configuration than the one in force; until the newest is written there again, it
-proves nothing.
+An answer of the store is evidence that the configuration was the newest one when the request
+was sent; times are those of the monotonic clock. A long poll without an answer is no evidence.
+Answers that are older than what is known are discarded. A restored store may hold an older
+configuration than the one in force; it is no evidence until the newest is written there again.
 """
 
 from __future__ import annotations
@@ -38,15 +37,15 @@
 
 
 class ConfigurationInForce:
-    """The newest configuration that this node knows of, and the halls to be emptied.
+    """The newest configuration that this node knows, and the halls to be evacuated.
 
     Parameters
     ==========
 
-    evacuations : the halls that operators have asked to empty.
-    is_reader : whether this node reads for the others. Another node reads only
-        when it has no evidence that is passed on to it and young enough.
-    schedule : when another node reads.
+    evacuations : the halls that operators have ordered to be evacuated.
+    is_reader : whether this node reads the store for the others. Any other node reads it only
+        if the coordinator's evidence is missing or too old.
+    schedule : when a node that isn't the reader reads the store directly.
     """
 
     def __init__(
@@ -67,7 +66,7 @@
         self._state = SourceState("configuration", log, is_reader)
         self._revision: int | None = None
         self._known_version = 0
-        # The version of the configuration's row in the store, as far as it was read here.
+        # The version of the configuration's row in the store, if this node has read it.
         self._row_version: int | None = None
         # Whether the store holds an older configuration than the one in force.
         self._is_store_outdated = False
@@ -84,21 +83,21 @@
         return self.configuration.version if self.configuration else 0
 
     def operator_rows(self) -> OperatorRows | None:
-        """Return the operators' rows as this node has read them, ``None`` before that."""
+        """Return the versions of the operators' rows, ``None`` before this node has read them."""
         if self._row_version is None:
             return None
         return OperatorRows(self._row_version, self.evacuations.rows())
 
     def evidence_age_s(self) -> float:
-        """Return the age of the latest proof that operators have written nothing newer."""
+        """Return the age of the latest evidence that operators have written nothing newer."""
         return self._clock.now() - self.evidence_at
 
     def note_store_unreachable(self, seen_at: float) -> None:
-        """Note that no node could read the store at a moment."""
+        """Note that at a time no node could read the store."""
         self._store_unreachable_at = max(self._store_unreachable_at, seen_at)
 
     def store_unreachable_age_s(self) -> float:
-        """Return how long ago no node could read the store, as far as known."""
+        """Return the time since it was last known that no node could read the store."""
         return self._clock.now() - self._store_unreachable_at
 
     def merge_coordinator_evidence(
@@ -109,15 +108,15 @@
         evacuated: frozenset[str],
         revision: int,
     ) -> None:
-        """Take the coordinator's evidence that a version is the newest one.
+        """Apply the coordinator's evidence that a version is the newest one.
 
         Parameters
         ==========
 
-        document : the configuration itself, if it was sent along.
-        evidence_at : the moment that the evidence is dated from, on this node's clock.
-        evacuated : the halls that are to be empty.
-        revision : the store's revision for which that holds.
+        document : the configuration itself, empty if it was not sent.
+        evidence_at : the time of the evidence, on this node's clock.
+        evacuated : the halls to be evacuated.
+        revision : the revision of the store at which they were read.
         """
         is_agreed = self.evacuations.take_passed(evacuated, revision, self.evidence_at)
         if version > self.version and document:
@@ -135,7 +134,7 @@
             self.was_read.set()
 
     async def follow(self) -> None:
-        """Read for ever, as far as evidence isn't passed on."""
+        """Read the store whenever the coordinator's evidence doesn't suffice, until cancelled."""
         await wait_for_coordinator(self.was_read, self._schedule, self._is_reader)
         while True:
             if self._must_read():
@@ -150,7 +149,7 @@
         return self._schedule.is_due(self.evidence_age_s())
 
     async def read_once(self) -> None:
-        """Read, or wait for a change, and take in the answer."""
+        """Read the configuration or wait for a change, and apply the answer."""
         requested_at = self._clock.now()
         if self._revision is None:
             result = await self._source.read()
@@ -165,7 +164,7 @@
             self._state.record_failure(result.reason)
 
     async def read_now(self) -> None:
-        """Read the configuration now, beside a wait that may be under way."""
+        """Read the configuration now, even if a long poll is pending."""
         requested_at = self._clock.now()
         result = await self._source.read()
         if isinstance(result, ConfigurationRead):
@@ -174,17 +173,17 @@
             self._state.record_failure(result.reason)
 
     def confirm(self, rows: OperatorRows | None, requested_at: float) -> None:
-        """Take in that the operators' rows had these versions at a moment."""
+        """Note that the operators' rows had these versions when a request was sent."""
         if rows is not None and rows == self.operator_rows():
             self.evidence_at = max(self.evidence_at, requested_at)
 
     def _take(self, result: ConfigurationRead, requested_at: float) -> bool:
-        """Take an answer in, unless a newer one is known; returns whether it was taken."""
+        """Apply an answer, unless a newer one is known; returns whether it was applied."""
         if self._revision is not None and result.revision < self._revision:
             self._log.event(
                 "answer_put_aside",
                 dependency="configuration",
-                why="it is older",
+                why="older than the known revision",
                 revision=format_revision(result.revision),
                 known=format_revision(self._revision),
             )
--- a/mulleinreach/gateway/known/told_changes.py
+++ b/mulleinreach/gateway/known/told_changes.py
@@ -1,4 +1,4 @@
-"""Tells in the log how the list of upstreams changes, one line a change."""
+"""Logs changes of the list of upstreams, one line per change."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from mulleinreach.gateway.revision import format_revision
 from mulleinreach.gateway.upstream import Upstream, upstream_name
 
-# A line stays readable when a whole hall comes or goes.
+# Keeps lines short when a whole hall is added or removed.
 MAX_LOGGED_IDS = 5
 
 
 def log_list_change(log: EventLog, directory: UpstreamDirectory, change: ListChange) -> None:
-    """Log a change that the list is about to take; nothing if it changes no upstream."""
+    """Log a change before it is applied to the list, unless it changes no upstream."""
     known = {upstream.id: directory.get(upstream.id) for upstream in change.upstreams}
     new = [upstream_id for upstream_id, before in known.items() if before is None]
     changed = [u.id for u in change.upstreams if known[u.id] not in (None, u)]
@@ -36,14 +36,14 @@
 def log_full_list(
     log: EventLog, directory: UpstreamDirectory, revision: int, upstreams: list[Upstream]
 ) -> None:
-    """Log what a whole list changes that is about to be taken."""
+    """Log the changes by a full list before it is applied."""
     listed = {upstream_name(upstream.id) for upstream in upstreams}
     removed = [name for name in map(upstream_name, directory.ids()) if name not in listed]
     log_list_change(log, directory, ListChange(revision, upstreams, removed))
 
 
 def format_ids(ids: list[str]) -> str:
-    """Return the first of some ids, as they stand in a line.
+    """Return the first ids as text for a log line.
 
     Examples
     ========
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -1,14 +1,15 @@
-"""Follows the list of upstreams, and dates what is known of it.
+"""Keeps the list of upstreams up to date, and tracks how current it is.
 
 Explanation
 ===========
 
-Changes come from the store, or from the coordinator that reads it for all. Upstreams that
-the list lost in an outage of the store are kept for a while, since those that live are back.
+Changes come from the store, or from the coordinator, which reads the store for all nodes.
+Upstreams whose rows expired during an outage of the store are retained for a while, because
+those that are alive write their rows again.
 
-A store that was restored lists upstreams as they were when its copy was taken. What they wrote
-since is written again, and upstreams that have gone meanwhile lapse once more; until then the
-list adds to what is known, and contradicts none of it.
+A restored store lists upstreams as they were when its copy was taken. Live upstreams rewrite
+their rows, and the rows of the others expire. Until then the list is untrusted: it may add to
+what is known, but not contradict it.
 """
 
 from __future__ import annotations
@@ -31,25 +32,18 @@
 from mulleinreach.gateway.revision import era_of, format_revision
 from mulleinreach.gateway.upstream import Upstream, upstream_name
 
-# A change of the list ends the wait for it, so that one that is so much older than a call
-# which was answered would have been told. The store's answers take 4 ms.
+# A pending long poll reports a change at most this long after the change.
 CHANGE_DELIVERY_S = 0.1
-# Changes that come together are read together. While a group is being formed or repaired,
-# each of its steps waits for a host's row; at other times the bound on leaving upstreams
-# (2 s and more) leaves room. With 0.04 s throughout, half of all calls of a day with 9 lost
-# groups were reads of the list.
+# Pauses between reads, so that one read returns several changes; short if a change is urgent.
 URGENT_BATCH_S = 0.04
 BATCH_S = 0.25
-# Rows lapse while the store is away, since their upstreams can't renew them. Those
-# that live are back about two seconds after its return; what is still missing then
-# is gone.
+# After a longer outage of the store, rows may have expired because upstreams couldn't renew them.
 OUTAGE_S = 1.5
+# Live upstreams write their rows again within this time after the store is back.
 RELISTING_GRACE_S = 2.2
-# By then an upstream that has gone, and that a restored store lists again, has missed three
-# heartbeats and is off the list; one heartbeat is for the way.
+# Three missed heartbeats, after which a stopped upstream's row expires, and one for propagation.
 UNTRUSTED_HEARTBEATS = 4
-# How long a coordinator's word holds that it keeps removed upstreams: until its next reports
-# (0.2 s each) have come, one of them late.
+# How long the coordinator's retention flag is valid: two of its reports, one of them late.
 RETENTION_NOTICE_TTL_S = 0.5
 NEVER = float("-inf")
 
@@ -60,10 +54,10 @@
     Parameters
     ==========
 
-    is_reader : whether this node reads for the others.
+    is_reader : whether this node reads the store for the others.
     on_change : called after each answer that changed the list.
-    is_urgent : whether somebody waits for a change.
-    schedule : when a node reads for itself.
+    is_urgent : whether an operation, such as forming a group, waits for a change of the list.
+    schedule : when a node that isn't the reader reads the store directly.
     heartbeat_s : how often upstreams write their rows.
     """
 
@@ -95,17 +89,17 @@
         self._failed_at = NEVER
         self._untrusted_s = UNTRUSTED_HEARTBEATS * heartbeat_s
         self._untrusted_until = NEVER
-        # Whether this node has read a list that it doubts, and has to read it again.
+        # Whether the last full read was made while the list was untrusted, so must be repeated.
         self._was_untrusted = False
         self.was_read = asyncio.Event()
         self.current_as_of = NEVER
 
     def list_age_s(self) -> float:
-        """Return the age of what the list shows."""
+        """Return for how long the list hasn't been confirmed as current."""
         return self._clock.now() - self.current_as_of
 
     def take_coordinator_list(self, whole: ListChange, current_as_of: float) -> None:
-        """Take the coordinator's whole list, unless this node has one of its own."""
+        """Take the coordinator's full list, unless this node already has a list."""
         if self._directory.revision is not None:
             return
         log_full_list(self._log, self._directory, whole.revision, whole.upstreams)
@@ -118,7 +112,7 @@
     def merge_coordinator_changes(
         self, changes: list[ListChange], revision: int, current_as_of: float
     ) -> None:
-        """Take the coordinator's changes of the list, and its evidence of their age."""
+        """Apply changes that the coordinator read, and the time as of which the list is current."""
         known_revision = self._directory.revision
         if known_revision is None:
             return
@@ -135,7 +129,7 @@
             self._on_change()
 
     async def follow(self) -> None:
-        """Read for ever, as far as changes aren't passed on."""
+        """Read the list whenever the coordinator's changes don't suffice, until cancelled."""
         await wait_for_coordinator(self.was_read, self._schedule, self._is_reader)
         while True:
             self._drop_retained()
@@ -146,7 +140,7 @@
                 await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def _wait_for_batch(self) -> None:
-        """Let changes come together, as long as nobody waits for one."""
+        """Wait so that the next read returns several changes, less long if one is urgent."""
         until = self._clock.now() + BATCH_S
         await asyncio.sleep(URGENT_BATCH_S)
         while not self._is_urgent() and self._clock.now() < until:
@@ -158,33 +152,33 @@
         return self._schedule.is_due(self.list_age_s())
 
     def _must_reread(self) -> bool:
-        """Whether a list that was doubted has to be read once more."""
+        """Whether the list has to be read again because it was untrusted at the last read."""
         return self._was_untrusted and self._clock.now() >= self._untrusted_until
 
     def confirm(self, requested_at: float) -> None:
-        """Take in that the store answered another call that was sent at ``requested_at``.
+        """Note that the store answered another call, which was sent at ``requested_at``.
 
-        A wait that was under way then, and still is, would have told of a change.
+        A long poll that was pending then, and still is, would have reported a change.
         """
         if self._waiting_since is not None and self._waiting_since < requested_at:
             self.current_as_of = max(self.current_as_of, requested_at - CHANGE_DELIVERY_S)
 
     def note_store_failed(self) -> None:
-        """Note that the store has just failed to answer another call."""
+        """Note that another call to the store has just failed."""
         self._failed_at = self._clock.now()
 
     def _detect_outage(self) -> None:
-        """Keep removed upstreams for a while if this is the first news after an outage.
+        """Retain removed upstreams for a while if this is the first answer after an outage.
 
-        News that is merely late shows no outage: the store must have failed us since, or
-        while the coordinator's last wait was still under way.
+        A late answer alone is no outage: a call must have failed since the last answer, or
+        during the coordinator's last long poll before it.
         """
         has_failed = self._failed_at > self.current_as_of - READER_WAIT_S > NEVER
         if has_failed and self.list_age_s() > OUTAGE_S:
             self._keeps_removed_until = self._clock.now() + RELISTING_GRACE_S
 
     def _wait_s(self) -> float:
-        """Return how long to wait for a change: until the list has to be looked at anyway."""
+        """Return how long to wait for a change, at most until the next deadline of this class."""
         now, wait_s = self._clock.now(), self._state.wait_s()
         deadlines = [self._keeps_removed_until]
         if self._was_untrusted:
@@ -192,7 +186,7 @@
         return min([wait_s, *(max(at - now, PROBE_WAIT_S) for at in deadlines if at > now)])
 
     def _detect_restore(self, revision: int) -> None:
-        """Doubt the list for a while if the store was restored since this node's revision."""
+        """Treat the list as untrusted for a while if the store was restored since our revision."""
         known_revision = self._directory.revision
         if era_of(revision) <= era_of(known_revision):
             return
@@ -206,18 +200,18 @@
         )
 
     def _reconcile(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Return what to take of a whole list: all of it, unless it is in doubt."""
+        """Return the upstreams to use of a full list: all, unless the list is untrusted."""
         self._was_untrusted = self._clock.now() < self._untrusted_until
         return self._directory.reconcile(upstreams) if self._was_untrusted else upstreams
 
     def note_coordinator_retention(self, keeps_removed: bool) -> None:
-        """Take the coordinator's word that it keeps upstreams that are off the list."""
+        """Note whether the coordinator retains upstreams that were removed from the list."""
         if keeps_removed:
             until = self._clock.now() + RETENTION_NOTICE_TTL_S
             self._keeps_removed_until = max(self._keeps_removed_until, until)
 
     def keeps_removed(self) -> bool:
-        """Whether the store was away so lately that upstreams off the list may be back."""
+        """Whether removed upstreams are retained, because an outage may have expired their rows."""
         return self._clock.now() < self._keeps_removed_until
 
     def _drop_retained(self) -> None:
@@ -229,7 +223,10 @@
             self._on_change()
 
     async def read_once(self) -> bool:
-        """Read, or wait for a change, and take in the answer; returns whether it told any."""
+        """Read the list or wait for a change, and apply the answer.
+
+        Returns whether there was a full list or a change.
+        """
         if self._must_read_all or self._must_reread():
             return await self.read_now()
         requested_at, wait_s = self._clock.now(), self._wait_s()
@@ -243,16 +240,16 @@
         else:
             has_changes = bool(result.upstreams or result.removed)
             if not has_changes and self._clock.now() - requested_at >= wait_s:
-                # The store would have answered sooner if anything had changed meanwhile.
+                # The store answers a long poll early if anything changes.
                 requested_at += wait_s
             self._take(result, False, requested_at)
             return has_changes
         return False
 
     async def read_now(self) -> bool:
-        """Read the whole list now, beside a wait that may be under way.
+        """Read the full list now, even if a long poll is pending.
 
-        Returns whether the store has answered.
+        Returns whether the store answered.
         """
         requested_at = self._clock.now()
         result = await self._source.read()
@@ -264,11 +261,11 @@
 
     @property
     def unusable_count(self) -> int:
-        """How many rows name no upstream, as this node read them itself."""
+        """The number of invalid upstream rows in this node's own reads of the store."""
         return len(self._unusable)
 
     def _log_unusable_rows(self, result: UpstreamsRead, is_full: bool) -> None:
-        """Log rows that name no upstream, each when it comes or when its reason changes."""
+        """Log each invalid upstream row when it appears and when its reason changes."""
         read = {row.name: row.why for row in result.unusable}
         for name, why in read.items():
             if self._unusable.get(name) != why:
@@ -285,11 +282,11 @@
         self._state.record_answer()
         known_revision = self._directory.revision
         if known_revision is not None and result.revision < known_revision:
-            # A wait that began before a newer read; the next one continues from that.
+            # A long poll that began before a newer read; the next one starts at that revision.
             self._log.event(
                 "answer_put_aside",
                 dependency="upstream_list",
-                why="it is older",
+                why="older than the known revision",
                 revision=format_revision(result.revision),
                 known=format_revision(known_revision),
             )
--- a/mulleinreach/gateway/known/upstreams.py
+++ b/mulleinreach/gateway/known/upstreams.py
@@ -1,4 +1,4 @@
-"""The upstreams that a node knows, and the groups that they form."""
+"""The list of upstreams that a node knows, and the groups that they form."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass
 class Group:
-    """The hosts that stand in one group under one epoch, by rank."""
+    """The hosts that are members of one group under one epoch, by rank."""
 
     name: str
     epoch: int
@@ -35,7 +35,7 @@
         for member in self.members.values():
             if member.models:
                 return member.models[0]
-        # Hosts tell the model only while they serve.
+        # Hosts report the model only while they serve.
         return model_of_group(self.name)
 
     def is_whole(self, size: int) -> bool:
@@ -56,12 +56,12 @@
 
 @dataclass(frozen=True)
 class ListChange:
-    """What changed in the list of upstreams, up to a revision of the store.
+    """The upstreams that were added, changed or removed up to a revision of the store.
 
     Parameters
     ==========
 
-    removed : the names of upstreams that are off the list, whichever their start.
+    removed : the names of upstreams that were removed, whatever their incarnation.
     """
 
     revision: int
@@ -70,32 +70,29 @@
 
 
 NEVER = float("-inf")
-# More upstreams than are replaced in an hour where there are 2,840 hosts; a leaving one ends within
-# seconds, and a copy of the store that names it once more is some seconds old.
+# Bounds the memory for ids of draining and removed upstreams.
 MAX_REMEMBERED_IDS = 4096
 
 
 class UpstreamDirectory:
-    """The list of upstreams as this node last heard it, and what changed in it lately.
+    """The list of upstreams as this node last received it, and its recent changes.
 
     Explanation
     ===========
 
-    A host's own report shows how it stood a while ago. It counts only where it is
-    newer than the latest change that was heard of the host: no further change may
-    come to correct what an older report had put in its place.
+    A host's own report is applied only if it is newer than the latest change received for that
+    host, since no later change might correct what an older report had overwritten.
 
-    An upstream that starts again may keep its name. The list is told in the order of its
-    changes, so the start that it names last is the one that runs; an earlier one is gone
-    at once, with all that is known of it.
+    An upstream that restarts may keep its name, but each start has its own id. Changes arrive
+    in order, so the start listed last is the running one, and earlier starts are dropped.
 
-    An upstream's word that it leaves outlives its rows: they lag, some never tell it, and a late
-    heartbeat or a restored store may show a row once more that says the contrary.
+    An upstream known to be leaving stays marked as draining, since a late heartbeat or a
+    restored store may list it as ready again.
 
     Parameters
     ==========
 
-    on_replaced : called with the id of each start that a later one has replaced.
+    on_replaced : called with the id of each start that another start has replaced.
 
     Examples
     ========
@@ -118,12 +115,12 @@
     def __init__(self, on_replaced: Callable[[str], None] = lambda upstream_id: None) -> None:
         self._on_replaced = on_replaced
         self._by_id: dict[str, Upstream] = {}
-        # The id of the start that runs under each name.
+        # The id of the running start, by upstream name.
         self._running: dict[str, str] = {}
         self._changed_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
         self._retained: set[str] = set()
-        # Ids in the order in which their upstreams said that they leave, and went off the list.
+        # Ids of leaving and of removed upstreams, oldest first.
         self._leaving: dict[str, None] = {}
         self._departed: dict[str, None] = {}
         self._changes: deque[ListChange] = deque()
@@ -137,7 +134,7 @@
         observed_at: float,
         keeps_removed: bool = False,
     ) -> None:
-        """Take a complete list."""
+        """Replace the list by a complete one."""
         upstreams = [self._with_leaving_state(u) for u in upstreams]
         listed = {upstream_name(u.id) for u in upstreams}
         changed = [u for u in upstreams if self._by_id.get(u.id) != u]
@@ -150,14 +147,14 @@
         self._apply_change(change, observed_at, keeps_removed)
 
     def apply(self, change: ListChange, observed_at: float, keeps_removed: bool = False) -> None:
-        """Take changes that follow on the list's revision.
+        """Apply changes that follow the list's revision.
 
         Parameters
         ==========
 
-        observed_at : when the answer that tells the change came in.
-        keeps_removed : upstreams that the change removes stay until
-            :meth:`drop_retained`, unless they are listed again.
+        observed_at : when the answer with the change was received.
+        keeps_removed : whether removed upstreams are retained until :meth:`drop_retained`
+            removes those that were not listed again.
         """
         self._record_change(change)
         self._apply_change(change, observed_at, keeps_removed)
@@ -180,11 +177,11 @@
         self.revision = change.revision
 
     def reconcile(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Return which upstreams to take of a whole list that may be older than what is known.
+        """Return the upstreams to use from a full list of a store that was restored.
 
-        A restored store shows rows as they were before. Those that were written since are
-        written again, but a row alone doesn't tell whether that has happened yet: what is known
-        of an upstream stands, and one that had gone off the list stays off it.
+        The rows may be older than what is known, and a row alone doesn't show whether its
+        upstream has rewritten it since the restore. So known state is kept, and upstreams that
+        were removed earlier are left out.
         """
         known = {name: self._by_id[running] for name, running in self._running.items()}
         pairs = [(upstream, known.get(upstream_name(upstream.id))) for upstream in upstreams]
@@ -195,7 +192,7 @@
         ]
 
     def mark_leaving(self, upstream_id: str) -> bool:
-        """Note that an upstream says itself that it leaves; returns whether that is news."""
+        """Mark an upstream as leaving, as it announced itself; returns whether that was unknown."""
         if upstream_id in self._leaving:
             return False
         _add_bounded(self._leaving, upstream_id)
@@ -204,7 +201,7 @@
         return True
 
     def _with_leaving_state(self, upstream: Upstream) -> Upstream:
-        """Return an upstream as its row tells it, but for its word that it leaves."""
+        """Return an upstream as its row shows it, but draining if it is known to be leaving."""
         if upstream.state is UpstreamState.DRAINING:
             _add_bounded(self._leaving, upstream.id)
         if upstream.id not in self._leaving:
@@ -212,7 +209,7 @@
         return replace(upstream, state=UpstreamState.DRAINING)
 
     def _replace_start(self, upstream_id: str) -> None:
-        """Drop an earlier start of an upstream that is listed again."""
+        """Drop the previous start of an upstream when another start is listed."""
         name = upstream_name(upstream_id)
         before = self._running.get(name)
         if before is not None and before != upstream_id:
@@ -227,7 +224,7 @@
             self._cold_until.pop(upstream.id, None)
 
     def drop_retained(self) -> int:
-        """Remove the upstreams that were kept and not listed again; returns how many."""
+        """Remove the retained upstreams that were not listed again; returns how many."""
         kept = list(self._retained)
         for upstream_id in kept:
             self._drop(upstream_id)
@@ -248,29 +245,29 @@
             self._changes_from = self._changes.popleft().revision
 
     def changes_since(self, revision: int) -> list[ListChange] | None:
-        """Return what changed after a revision, or ``None`` if that is too long ago."""
+        """Return the changes after a revision, ``None`` if some were discarded."""
         if self._changes_from is None or revision < self._changes_from:
             return None
         return [change for change in self._changes if change.revision > revision]
 
     def whole(self) -> ListChange | None:
-        """Return all upstreams as one change, ``None`` before the first list."""
+        """Return the full list as one change, ``None`` before the first list."""
         if self.revision is None:
             return None
         return ListChange(self.revision, list(self._by_id.values()), [])
 
     def apply_report(self, report: Upstream, as_of: float) -> bool:
-        """Take what a listed host said of itself, unless something newer is known.
+        """Apply a listed host's own report, unless newer state is known.
 
         Parameters
         ==========
 
-        as_of : the moment that the report shows.
+        as_of : when the host was in the reported state.
 
         Returns
         =======
 
-        Whether the report was taken.
+        Whether the report was applied.
         """
         known = self._by_id.get(report.id)
         if known is None or as_of <= self._changed_at.get(report.id, NEVER):
@@ -286,19 +283,23 @@
         return True
 
     def get(self, upstream_id: str) -> Upstream | None:
-        """Return an upstream that is on the list."""
+        """Return a listed upstream, ``None`` if the id isn't listed."""
         return self._by_id.get(upstream_id)
 
     def is_replaced(self, upstream_id: str) -> bool:
-        """Whether the list names another start of an upstream than this one."""
+        """Whether the list holds another start of the same upstream."""
         return self._running.get(upstream_name(upstream_id), upstream_id) != upstream_id
 
     def running(self, name: str) -> str | None:
-        """Return the id of the start that the list names for an upstream."""
+        """Return the id of the listed start of an upstream, given its name."""
         return self._running.get(name)
 
     def cold_ids(self, now: float) -> frozenset[str]:
-        """Return the ids of upstreams that are cold, by the latest change of their rows."""
+        """Return the ids of upstreams that are cold.
+
+        Cold: recently started, with an empty cache, so the request rate is capped. The remaining
+        time comes from the latest change of the upstream's row.
+        """
         return frozenset(u for u, until in self._cold_until.items() if until > now)
 
     def ids(self) -> list[str]:
@@ -310,7 +311,7 @@
         return [u for u in self._by_id.values() if u.service == service]
 
     def group_states(self) -> Counter[str]:
-        """Return how many groups there are by the state of their heads."""
+        """Return the number of groups by the state of their heads."""
         heads = [m for u in self._by_id.values() if (m := u.membership) and m.rank == 0]
         return Counter(str(head.state) for head in heads)
 
@@ -319,14 +320,14 @@
 
 
 def _add_bounded(ids: dict[str, None], upstream_id: str) -> None:
-    """Add an id to those that are remembered in their order, and drop the oldest beyond a bound."""
+    """Add an id, and evict the oldest one beyond the limit."""
     ids[upstream_id] = None
     if len(ids) > MAX_REMEMBERED_IDS:
         del ids[next(iter(ids))]
 
 
 def _reconcile_row(known: Upstream, listed: Upstream) -> Upstream:
-    """Return what holds of an upstream that is known, and listed by a store that may lag."""
+    """Return the newer of a known upstream and its row in a store that may be outdated."""
     if (start_time_ms(listed.id) or 0) > (start_time_ms(known.id) or 0):
         return listed
     if listed.id == known.id and listed.state is UpstreamState.DRAINING:
@@ -335,7 +336,7 @@
 
 
 def collect_groups(upstreams: list[Upstream]) -> dict[tuple[str, int], Group]:
-    """Return the groups that hosts say they stand in, by name and epoch."""
+    """Return the groups that hosts report as theirs, by name and epoch."""
     groups: dict[tuple[str, int], Group] = {}
     for upstream in upstreams:
         if upstream.place is None:
@@ -346,7 +347,7 @@
 
 
 def open_heads(upstreams: list[Upstream]) -> list[Head]:
-    """Return the heads that say they are open and that don't leave."""
+    """Return the heads that are open and not draining."""
     heads = []
     for upstream in upstreams:
         membership = upstream.membership
@@ -358,7 +359,7 @@
 
 
 def serves_model(upstream: Upstream, model: str | None) -> bool:
-    """Whether an upstream is the head of a group that runs a model, or any if that is ``None``."""
+    """Whether an upstream is the head of a group that runs a model; ``None`` means any model."""
     membership = upstream.membership
     is_head = membership is not None and membership.rank == 0
     return is_head and bool(upstream.models) and model in (None, *upstream.models)
