--- a/mulleinreach/gateway/known/content.py
+++ b/mulleinreach/gateway/known/content.py
@@ -1,28 +1,27 @@
-"""Names a request by its content, so that one that comes again is known at any node."""
+"""Digests of requests by content, so that any node recognises a repeated request."""
 
 from __future__ import annotations
 
 import hashlib
 
-# Two of the contents that a deployment keeps track of, some hundreds, then have the same digest
-# once in 10**14 times.
+# Collisions are negligible among the few hundred contents that a deployment tracks.
 DIGEST_BYTES = 8
 
 
 def content_digest(method: str, host: str, target: str, caller: str, body: bytes) -> int:
-    """Return the digest of what a caller asks for, whatever its headers say.
+    """Return the digest of a request, without its headers.
 
     Explanation
     ===========
 
-    Each attempt of a caller has an id of its own, so ids can't tell that a request was there
-    before. Two requests of one caller that ask for the same have the same digest.
+    Each attempt of a caller has its own id, so ids don't identify a repeated request. Equal
+    requests of one caller have the same digest.
 
     Parameters
     ==========
 
-    target : path and query as they came.
-    caller : the organisation; empty where none is known.
+    target : path and query as received.
+    caller : the organisation, empty if unknown.
 
     Examples
     ========
@@ -42,7 +41,7 @@
 
 
 def format_digest(digest: int) -> str:
-    """Return a digest as it stands in log lines.
+    """Return a digest as text for log lines.
 
     Examples
     ========
@@ -54,7 +53,7 @@
 
 
 def parse_digest(text: str) -> int:
-    """Return the digest that a text tells.
+    """Parse a digest from the text of :func:`format_digest`.
 
     Examples
     ========
--- a/mulleinreach/gateway/known/crashes.py
+++ b/mulleinreach/gateway/known/crashes.py
@@ -1,4 +1,12 @@
-"""Which requests end the upstreams that run them, as all nodes together have seen it."""
+"""Detects requests that crash the upstreams which run them, and holds them back.
+
+Explanation
+===========
+
+Nodes report their observations to the coordinator, which combines those of all nodes and
+publishes the contents to be held. An end is the end of an upstream's process while it has a
+request. A request is identified by the digest of its content.
+"""
 
 from __future__ import annotations
 
@@ -20,44 +28,39 @@
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Upstream
 
-# Two ends right after a request had begun aren't chance: of some 200 requests that were cut at 13
-# recorded ends, two besides the culprits had begun and been given nothing, each of them once.
+# Ends after the request began and before any output, a state that other requests are rarely in.
 MIN_ENDS_AFTER_BEGIN = 2
-# Where more requests than that had begun at an upstream that ended, its engine answers before it
-# begins, and the beginning tells nothing. At most two had at recorded ends.
+# If more requests had begun at an upstream that ended, the begun state doesn't show the culprit.
 MAX_BEGUN_REQUESTS = 3
-# Where it doesn't show whether a request had begun, each neighbour looks like the culprit. Sound
-# ones are sent twice in a try; their callers ask once more.
+# Ends before any output, begun or not. Other requests in flight at the upstream look the same.
 MIN_ENDS_BEFORE_OUTPUT = 3
-# A stream that had events has shown that its upstream outlives its beginning, and most that lose
-# several upstreams are neighbours of a culprit. One that has lost as many as a try may reach has
-# nothing to lose.
+# Ends of any kind. The limit is highest because a stream with output is rarely the culprit.
 MIN_ENDS_ANY_OUTCOME = 4
-# What ends upstreams today still does in an hour, unless somebody has mended the engine.
+# How long a content is held; a fix of the engine within this time is unlikely.
 HOLD_S = 3600.0
-# A lost hall ends the replicas of some hundred requests; older sightings give way to newer ones.
+# Holds the contents of a lost hall; beyond it those without recent observations are evicted.
 MAX_TRACKED_CONTENTS = 256
-# Four ends are enough to judge by; a sound request that many ask for is run at many upstreams.
+# More than the ends that decide, for popular requests that run at many upstreams.
 MAX_RUNS_PER_CONTENT = 32
-# As many as the lease's row holds beside the rest (1 kB).
+# Fits into the lease's row, which is limited to 1 kB.
 MAX_HELD_CONTENTS = 64
-# Sightings that are told again are known by their ids; a run that was served has one, too.
+# Ids kept to discard duplicates, for ends and for served runs.
 MAX_OBSERVATION_IDS = 2 * MAX_TRACKED_ENDS
-# A node tells each sighting in the reports of so many seconds, ten and more: some may be lost.
+# A node repeats an observation in all reports of this time, because reports may be lost.
 REPORT_WINDOW_S = 1.0
 
 
 @dataclass(frozen=True)
 class RunObservation:
-    """What a node saw of one run.
+    """A run that a node observed, as it reports it to other nodes.
 
     Parameters
     ==========
 
-    id : drawn by the node that saw it, so that a doubled report counts once.
-    content : digest of the request.
-    upstream_id, hall : where it ran.
-    ago_s : how long ago it was seen, when this was written.
+    id : a random number of the observing node, so that duplicate reports count once.
+    content : the digest of the request.
+    upstream_id, hall : the upstream that ran it, and its hall.
+    ago_s : the age of the observation when the report was written.
     """
 
     id: int
@@ -69,12 +72,12 @@
 
 
 class CrashTracker:
-    """The sightings that this node knows of, and the requests that are held back for them.
+    """Collects observations of runs, and holds back requests that repeatedly end upstreams.
 
     Parameters
     ==========
 
-    on_held : called with each content that is held from now on.
+    on_held : called with each content when its hold begins.
     """
 
     def __init__(
@@ -84,7 +87,7 @@
         self._log = log
         self._rng = rng
         self._on_held = on_held
-        # The content that was seen last stands last.
+        # Ordered by the latest observation, the most recent content last.
         self._seen: dict[int, list[ObservedRun]] = {}
         self._ends = UpstreamEnds(clock)
         self._own: deque[ObservedRun] = deque(maxlen=MAX_TRACKED_CONTENTS)
@@ -92,11 +95,11 @@
         self._held_until: dict[int, float] = {}
 
     def is_held(self, content: int) -> bool:
-        """Whether a request must not be sent any more."""
+        """Whether a request is held: it must not be sent to any upstream."""
         return self._held_until.get(content, 0.0) > self._clock.now()
 
     def held(self) -> tuple[HeldContent, ...]:
-        """Return the contents that are held, and for how much longer."""
+        """Return the held contents with the remaining time of each hold."""
         now = self._clock.now()
         return tuple(
             HeldContent(content, until - now)
@@ -105,13 +108,13 @@
         )
 
     def merge_held(self, contents: Iterable[HeldContent], as_of: float | None = None) -> None:
-        """Take the contents that another node, or the coordinator's row, tells as held.
+        """Merge the holds that another node, or the coordinator's row, reports.
 
         Parameters
         ==========
 
-        as_of : the moment from which their times count, now if it is left out. A moment before
-            they were told makes them end earlier, never later than where they were decided.
+        as_of : the time from which the remaining times count, by default now. The time when the
+            report was requested ensures that no hold ends later than at the reporting node.
         """
         dated_at = self._clock.now() if as_of is None else as_of
         for held in contents:
@@ -122,20 +125,20 @@
                 self._hold(held.content, until, is_told=True)
 
     def note_end(self, content: int, upstream: Upstream, outcome: RunOutcome) -> None:
-        """Note that an upstream's process ended while it had a request."""
+        """Record that an upstream's process ended while it had a request."""
         seen_id, now = self._rng.getrandbits(64), self._clock.now()
         seen = ObservedRun(seen_id, content, upstream.id, upstream.hall, outcome, now)
         self._own.append(seen)
         self._add(seen)
 
     def note_served(self, content: int, upstream: Upstream) -> None:
-        """Note that a request was served, which matters if upstreams ended under it before."""
+        """Record that a request was served, if upstreams have ended while they had it."""
         known = self._seen.get(content)
         if known and known[-1].outcome is not RunOutcome.SERVED:
             self.note_end(content, upstream, RunOutcome.SERVED)
 
     def merge_observations(self, observations: Iterable[RunObservation]) -> None:
-        """Take what another node saw, and may have told before."""
+        """Merge the observations of another node, except those that are known."""
         now = self._clock.now()
         for observation in observations:
             if observation.id in self._known_ids:
@@ -153,7 +156,7 @@
             )
 
     def own_observations(self, includes_old: bool) -> list[RunObservation]:
-        """Return what this node saw itself, lately or ever."""
+        """Return this node's own observations, the recent ones or all that are retained."""
         now = self._clock.now()
         oldest = now - (OBSERVATION_RETENTION_S if includes_old else REPORT_WINDOW_S)
         recent = itertools.takewhile(lambda seen: seen.at >= oldest, reversed(self._own))
@@ -174,12 +177,12 @@
         if seen.outcome is RunOutcome.SERVED:
             return
         self._ends.add(seen)
-        # Most requests at an upstream that ends have lost no other one.
+        # Skips the evaluation for most requests at a crashed upstream, which have a single run.
         if len(runs) >= MIN_ENDS_AFTER_BEGIN:
             self._hold_if_culprit(seen.content)
 
     def _hold_if_culprit(self, content: int) -> None:
-        """Hold a request if upstreams end under it again and again."""
+        """Hold a request if enough upstreams ended while they had it since it was last served."""
         known = self._seen[content]
         served_at = max(
             (seen.at for seen in known if seen.outcome is RunOutcome.SERVED),
@@ -196,13 +199,13 @@
             self._hold(content, until, is_told=False, begun=begun, ends=counts[-1])
 
     def _had_begun(self, end: ObservedRun) -> bool:
-        """Whether an upstream ended after it had begun a request, as few others there."""
+        """Whether the request had begun at the upstream that ended, and few others there had."""
         if end.outcome is not RunOutcome.ENDED_BEGUN:
             return False
         return self._ends.count_begun(end, MAX_BEGUN_REQUESTS + 1) <= MAX_BEGUN_REQUESTS
 
     def _count_independent(self, ends: list[ObservedRun]) -> int:
-        """Return how many ends under one request a single failure doesn't explain."""
+        """Return the number of a request's ends, where ends by one failure count once."""
         counted: list[ObservedRun] = []
         explained = {end.upstream_id for end in ends}
         for end in sorted(ends, key=lambda seen: seen.at):
@@ -223,7 +226,12 @@
 
 
 def held_contents(contents: Iterable[int], times_s: Iterable[float]) -> tuple[HeldContent, ...]:
-    """Return held requests from their digests and times; earlier releases don't tell the times.
+    """Return held contents from their digests and remaining times.
+
+    Explanation
+    ===========
+
+    Earlier releases send no times; their holds last :data:`HOLD_S`.
 
     Examples
     ========
--- a/mulleinreach/gateway/known/notices.py
+++ b/mulleinreach/gateway/known/notices.py
@@ -1,10 +1,11 @@
-"""What upstreams say of themselves in their answers to this node, for as long as it counts.
+"""Notices of upstreams in their responses: requests for rest, and announced leaving.
 
 Explanation
 ===========
 
-That an upstream wants rest concerns this node alone: another one may have sent it little. That
-it leaves is true for everybody; the other nodes learn it from the list, or by an answer.
+A request for rest asks for a pause in requests. It applies to this node only, since other nodes
+may have sent that upstream little. Leaving concerns all nodes; the others learn of it from the
+list or from a response of their own.
 """
 
 from __future__ import annotations
@@ -19,12 +20,12 @@
 
 @dataclass(frozen=True)
 class Rest:
-    """The time for which an upstream wants nothing from this node.
+    """The time for which an upstream wants no requests from this node.
 
     Parameters
     ==========
 
-    requested_s : how long it was to be when it was asked for.
+    requested_s : the whole duration that the upstream requested.
     """
 
     remaining_s: float
@@ -38,12 +39,12 @@
 
 
 class NoticeTracker:
-    """Keeps for how long upstreams want nothing, and tells the list which of them leave.
+    """Tracks upstreams that requested rest, and marks leaving ones in the list.
 
     Parameters
     ==========
 
-    on_leaving : called when an upstream has said for the first time that it leaves.
+    on_leaving : called when an upstream first announces that it is leaving.
     """
 
     def __init__(
@@ -57,11 +58,11 @@
         self._clock = clock
         self._log = log
         self._on_leaving = on_leaving
-        # By the id of a start: a later one has asked for nothing.
+        # By the id of one start, since a request for rest doesn't outlast a restart.
         self._rests: dict[str, _RequestedRest] = {}
 
     def record(self, upstream: Upstream, notice: Notice) -> None:
-        """Take what an answer says of the upstream that gave it."""
+        """Record the notice in an upstream's response."""
         is_news = notice.is_leaving and self._directory.mark_leaving(upstream.id)
         if notice.rest_s:
             self._note_rest(upstream.id, notice.rest_s)
@@ -80,21 +81,21 @@
         asked = _RequestedRest(now + rest_s, rest_s)
         resting = {u: rest for u, rest in self._rests.items() if rest.until > now}
         before = resting.get(upstream_id, asked)
-        # What was asked for before still holds, if it ends later.
+        # An earlier request stays in force if it ends later.
         self._rests = {**resting, upstream_id: max(asked, before, key=lambda rest: rest.until)}
 
     def rest(self, upstream_id: str) -> Rest | None:
-        """Return the rest that an upstream has asked this node for, ``None`` if that is over."""
+        """Return the rest that an upstream requested, ``None`` if there is none now."""
         if not self.is_resting(upstream_id):
             return None
         asked = self._rests[upstream_id]
         return Rest(asked.until - self._clock.now(), asked.rest_s)
 
     def is_resting(self, upstream_id: str) -> bool:
-        """Whether an upstream wants nothing from this node now."""
+        """Whether an upstream is resting: it wants no requests from this node now."""
         asked = self._rests.get(upstream_id)
         return asked is not None and asked.until > self._clock.now()
 
     def resting(self) -> list[str]:
-        """Return the ids of the upstreams that want nothing from this node now."""
+        """Return the ids of the resting upstreams."""
         return [u for u in self._rests if self.is_resting(u)]
--- a/mulleinreach/gateway/known/upstream_ends.py
+++ b/mulleinreach/gateway/known/upstream_ends.py
@@ -1,4 +1,4 @@
-"""The ends of upstreams that nodes saw lately, found by place and moment."""
+"""Recent process ends of upstreams, indexed by upstream and by hall and time."""
 
 from __future__ import annotations
 
@@ -8,22 +8,21 @@
 
 from mulleinreach.common import Clock
 
-# Where upstreams end together that a request doesn't explain, their hall may be failing: its ends
-# there within so many seconds count as one. The nodes' sightings of a moment are together by then.
+# Ends in one hall within this time count as one failure if other upstreams of the hall ended too.
 SAME_FAILURE_WINDOW_S = 1.0
-# A culprit that comes once in some minutes is found by its second visit.
+# Long enough to detect a culprit that is sent once in several minutes.
 OBSERVATION_RETENTION_S = 600.0
-# The loss of a hall of 950 upstreams with 17 requests each; older ends give way to newer ones.
+# Holds the ends of a lost hall with all its requests in flight; beyond it the oldest are evicted.
 MAX_TRACKED_ENDS = 16_384
 
 
 class RunOutcome(enum.IntEnum):
-    """What became of a run at an upstream.
+    """The outcome of a run, one execution of a request at an upstream.
 
-    ``ENDED``: the upstream's process ended; it may not have begun the request.
-    ``ENDED_BEGUN``: it ended after it had begun the request and before it gave anything.
-    ``SERVED``: the answer came whole.
-    ``ENDED_GIVING``: it ended after it had given a part of the answer.
+    ``ENDED``: the upstream's process ended, possibly before it began the request.
+    ``ENDED_BEGUN``: it ended after it began the request, before any part of the response.
+    ``SERVED``: the complete response was received.
+    ``ENDED_GIVING``: it ended after it had sent a part of the response.
     """
 
     ENDED = 1
@@ -34,13 +33,15 @@
 
 @dataclass(frozen=True)
 class ObservedRun:
-    """What was seen of one run.
+    """An observed run, dated by this node's clock.
 
     Parameters
     ==========
 
-    id : that of the sighting.
-    at : when it was, by this node's clock.
+    id : the id of the observation, see :class:`RunObservation`.
+    content : the digest of the request.
+    hall : the hall of the upstream.
+    at : when the run ended.
     """
 
     id: int
@@ -51,28 +52,28 @@
     at: float
 
     def is_simultaneous_with(self, other: ObservedRun) -> bool:
-        """Whether both are of one moment."""
+        """Whether both runs ended at about the same time."""
         return abs(self.at - other.at) < SAME_FAILURE_WINDOW_S
 
 
 class UpstreamEnds:
-    """Ends by upstream, and by hall and second: a look costs the same however many there are.
+    """Index of ends by upstream, and by hall and second, so that lookups don't scan all ends.
 
     Explanation
     ===========
 
-    Ends of one moment stand in the same second or in one next to it.
+    Ends at about the same time are in the same second or in adjacent ones.
     """
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._in_order: deque[ObservedRun] = deque()
         self._by_upstream: dict[str, dict[int, ObservedRun]] = defaultdict(dict)
-        # By hall and second, an end of each upstream.
+        # By hall and second, the latest end of each upstream.
         self._by_hall_second: dict[tuple[str, int], dict[str, ObservedRun]] = defaultdict(dict)
 
     def add(self, end: ObservedRun) -> None:
-        """Take an end, and forget those that are too old or too many."""
+        """Add an end, and evict those that are too old or beyond the limit."""
         self._in_order.append(end)
         self._by_upstream[end.upstream_id][end.content] = end
         self._by_hall_second[_hall_second(end)][end.upstream_id] = end
@@ -81,7 +82,7 @@
             self._evict(self._in_order.popleft())
 
     def _must_evict(self, oldest: float) -> bool:
-        """Whether the end that was taken first is too old, or one too many."""
+        """Whether the oldest end is too old or beyond the limit."""
         return len(self._in_order) > MAX_TRACKED_ENDS or self._in_order[0].at < oldest
 
     def _evict(self, end: ObservedRun) -> None:
@@ -89,7 +90,7 @@
         _drop(self._by_hall_second, _hall_second(end), end.upstream_id, end)
 
     def count_begun(self, end: ObservedRun, limit: int) -> int:
-        """Return how many requests had begun at an upstream when it ended, ``limit`` at limit."""
+        """Return how many requests had begun at an upstream when it ended, at most ``limit``."""
         count = 0
         for other in self._by_upstream.get(end.upstream_id, {}).values():
             count += other.outcome is RunOutcome.ENDED_BEGUN and other.is_simultaneous_with(end)
@@ -98,7 +99,7 @@
         return count
 
     def is_hall_failing(self, end: ObservedRun, explained: set[str]) -> bool:
-        """Whether upstreams that aren't explained ended in the same hall at about that time."""
+        """Whether upstreams outside ``explained`` ended in the same hall at about that time."""
         hall, second = _hall_second(end)
         return any(
             upstream_id not in explained and other.is_simultaneous_with(end)
@@ -112,7 +113,7 @@
 
 
 def _drop(ends: dict, place: object, key: object, end: ObservedRun) -> None:
-    """Take an end out of one of the ways to find it, unless a later one stands there."""
+    """Remove an end from an index, unless a later end has replaced it there."""
     there = ends.get(place, {})
     if there.get(key) is end:
         del there[key]
