--- a/mulleinreach/gateway/known/store_calls.py
+++ b/mulleinreach/gateway/known/store_calls.py
@@ -1,11 +1,11 @@
-"""Counts a node's calls to the store, and spaces them while it gives no answers.
+"""Counts a node's calls to the store, and throttles them during an outage of the store.
 
 Explanation
 ===========
 
-Each call has its price, refused ones included, and all nodes miss the store at once.
-So while a node gets no answers, one call at a time finds out whether the store is back,
-and whichever it is, its answer lets all others go on.
+Every call is charged, refused ones included, and an outage affects all nodes at once. So while
+the store doesn't answer, a node sends one call at a time as a probe. Any answer ends the
+throttling of all its calls.
 """
 
 from __future__ import annotations
@@ -20,34 +20,27 @@
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import Unavailable
 
-# One line a node in this time tells which calls it made, and stays readable beside its decisions.
 CALLS_LOG_INTERVAL_S = 10.0
-# No other call is tried while one is under way that may still show that the store is back:
-# calls time out after a second.
+# No other call is sent during a probe. Exceeds the timeout of a call, which is 1 s.
 MAX_PROBE_S = 1.2
-# The node that reads for all renews its lease in the meantime, which isn't spaced here and
-# lets its reads go on with its first answer.
+# Mean pause of the node that reads for all; its lease renewals aren't throttled.
 READER_PAUSE_S = 1.0
-# A node that has no coordinator serves from what it knows, or nothing: it asks soon at
-# first. At the longest pause, a second of an outage costs a call and a half a node.
+# Mean pauses of a node without a coordinator, which has no other source of updates.
 MIN_PAUSE_S, MAX_PAUSE_S = 0.3, 0.7
-# Nodes that meet at a coordinator ask by turns, so many a second together: the first one
-# that gets an answer replaces it, and the others hear of that. With this figure an outage
-# costs 9 nodes at most twice a calm time's calls; with a pause of 0.4 to 1 s for each node,
-# ten seconds of it cost 24 calls a node.
+# Total rate of all followers. The first one that gets an answer replaces the coordinator.
 MAX_PROBES_PER_S = 3.0
 MIN_FOLLOWER_PAUSE_S = 0.4
-# However many they are, each finds out for itself within a few seconds.
+# In a large deployment, each node still probes every few seconds.
 MAX_FOLLOWER_PAUSE_S = 3.0
-# A rest of a pause that rounding has left must not be waited for in vain.
+# The minimum avoids a busy loop on a remainder of a pause left by rounding.
 MIN_SLEEP_S = 0.001
 MAX_SLEEP_S = 0.2
-# Pauses differ by this much either way, so that nodes don't ask in step.
+# Relative jitter, so that nodes don't probe in step.
 PAUSE_JITTER = 0.5
 
 
 class StoreRole(enum.Enum):
-    """What a node needs the store for."""
+    """The role of a node, which decides how often it probes the store."""
 
     READER = enum.auto()
     FOLLOWER = enum.auto()
@@ -55,13 +48,13 @@
 
 
 def pause_s(role: StoreRole, nodes: int, failures: int) -> float:
-    """Return the mean pause after a call without an answer.
+    """Return the mean pause in seconds after a call that failed.
 
     Parameters
     ==========
 
-    nodes : how many nodes there are.
-    failures : how many calls in a row had no answer; 1 at least.
+    nodes : the number of nodes.
+    failures : how many calls in a row had no answer; at least 1.
 
     Examples
     ========
@@ -79,12 +72,12 @@
 
 
 class StoreCalls:
-    """The calls of one node.
+    """Counts and throttles the calls of one node.
 
     Parameters
     ==========
 
-    mean_pause_s : returns the mean pause after so many failures in a row.
+    mean_pause_s : returns the mean pause for a number of failures in a row.
 
     Examples
     ========
@@ -119,9 +112,9 @@
         self._answered = asyncio.Event()
 
     async def admit(self) -> None:
-        """Wait until a call may be made."""
+        """Wait until a call may be sent."""
         while self._failures and (remaining_s := self._remaining_s()) > 0:
-            # The pause is worked out anew: it ends sooner once there is no coordinator.
+            # The pause is recomputed: it becomes shorter if the coordinator is lost.
             sleep_s = min(max(remaining_s, MIN_SLEEP_S), MAX_SLEEP_S)
             try:
                 async with asyncio.timeout(sleep_s):
@@ -132,13 +125,13 @@
             self._probed_at = self._clock.now()
 
     def _remaining_s(self) -> float:
-        """Return how long the next call has to wait while the store gives no answers."""
+        """Return the remaining wait before the next call during an outage."""
         pause_s = self._jitter * self._mean_pause_s(self._failures)
         next_at = max(self._failed_at + pause_s, self._probed_at + MAX_PROBE_S)
         return next_at - self._clock.now()
 
     def count(self, call: str, result: object) -> None:
-        """Take in what came of a call, by its name and the type of its result."""
+        """Record a call by its name and the type of its result."""
         self._metrics.count_store_call(call, result)
         self._counts[f"{call}.{type(result).__name__}"] += 1
         if isinstance(result, Unavailable):
@@ -152,12 +145,12 @@
             self._answered.set()
 
     def take_counts(self) -> dict[str, int]:
-        """Return the calls since this was asked last."""
+        """Return the counts since the previous call of this method, and reset them."""
         counts, self._counts = self._counts, Counter()
         return dict(sorted(counts.items()))
 
     async def log_counts(self) -> None:
-        """Log the calls of each interval that had any, for ever."""
+        """Log the counts of each interval that had calls, until cancelled."""
         while True:
             await asyncio.sleep(CALLS_LOG_INTERVAL_S)
             counts = self.take_counts()
--- a/mulleinreach/gateway/known/waking.py
+++ b/mulleinreach/gateway/known/waking.py
@@ -1,4 +1,4 @@
-"""Tells in the log when the machine was suspended, and what that has made old."""
+"""Logs suspensions of the machine, and how stale they made the node's data."""
 
 from __future__ import annotations
 
@@ -7,21 +7,20 @@
 
 from mulleinreach.common import EventLog
 
-# How often it is looked. A loop that slept through a suspension notices by this timer, so it also
-# bounds for how long a woken node may go on in ignorance.
+# Bounds how long a resumed node runs before it detects the suspension.
 CHECK_INTERVAL_S = 0.1
-# Shorter ones change nothing that a busy moment wouldn't: reports come each 0.1 s.
+# Shorter suspensions have no more effect than a busy event loop.
 MIN_LOGGED_SUSPENSION_S = 0.2
 
 
 class SuspensionMonitor:
-    """Compares how long the machine has been suspended in all with what it was before.
+    """Detects and logs suspensions, by the growth of the machine's total suspended time.
 
     Parameters
     ==========
 
-    suspended_s : returns for how long the machine has been suspended in all.
-    describe : returns the fields that tell what the node makes of it.
+    suspended_s : returns the total time for which the machine has been suspended.
+    describe : returns further fields for the log line, on the state of the node.
     """
 
     def __init__(
@@ -36,13 +35,13 @@
         self._previous_s = suspended_s()
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check periodically, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             self.check()
 
     def check(self) -> None:
-        """Log a suspension since the last look."""
+        """Log a suspension since the previous check."""
         now_s = self._suspended_s()
         slept_s, self._previous_s = now_s - self._previous_s, now_s
         if slept_s >= MIN_LOGGED_SUSPENSION_S:
