--- a/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
+++ b/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
@@ -1,4 +1,4 @@
-"""A new configuration is read once and passed on, whoever can read the store."""
+"""A new configuration is read by the coordinator and reaches all nodes."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
             world.store.put(CONFIGURATION, "newest", make_configuration(version))
             await asyncio.sleep(PAUSE_S)
         assert _versions(world) == {1 + CHANGES}
-        # Only the coordinator reads: two waits and a renewal each half a second, and one
-        # more wait for each change.
+        # Only the coordinator calls the store: long polls, lease renewals, and one more long
+        # poll per change.
         assert world.store.calls - calls_before < 10 * CHANGES * PAUSE_S + 3 * CHANGES
 
     run_world(test, nodes=40, domains=0)
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -1,6 +1,6 @@
-"""What a node's book of ended upstreams costs when many end at once, and how long its holds last.
+"""The cost of merging observations when many upstreams end at once, and the expiry of holds.
 
-Work is counted in operations of the interpreter, which are the same on every machine.
+Cost is counted in bytecode operations, which don't depend on the machine.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 REQUESTS_EACH = 17
 FEW_UPSTREAMS, MANY_UPSTREAMS = 6, 48
-# Some more is allowed for what grows with the logarithm, and for ends of one hall.
+# Allows for logarithmic growth and for ends in the same hall.
 MAX_COST_RATIO = 1.5
-# The loss of 100 upstreams may take 20 ms, and to be told of it ten times 10 ms more.
+# Merging known observations this many times costs at most this share of the first merge.
 REPEATS = 10
 MAX_REPEAT_COST_RATIO = 0.5
-# Coordinators are replaced each half hour for a day.
+# The coordinator is replaced every half hour for a day.
 COORDINATOR_INTERVAL_S = 1800.0
 COORDINATORS = 48
 
 
 def count_operations(act: Callable[[], None]) -> int:
-    """Return how many operations the interpreter carries out."""
+    """Return how many bytecode operations a function executes."""
     count = 0
 
     def trace(frame, event, argument):
@@ -44,7 +44,7 @@
 
 
 def make_observations(upstreams: int) -> list[RunObservation]:
-    """Return what a node tells when upstreams of two halls end under many requests each."""
+    """Return observations of upstreams in two halls that end with many requests in flight."""
     rng = random.Random(upstreams)
     return [
         RunObservation(
@@ -61,7 +61,7 @@
 
 
 def operations_per_observation(upstreams: int) -> float:
-    """Return how many operations a sighting takes where so many upstreams end at once."""
+    """Return the operations per observation when this many upstreams end at once."""
     tracker: CrashTracker = TrackerHarness().tracker
     observations = make_observations(upstreams)
     return count_operations(lambda: tracker.merge_observations(observations)) / len(observations)
--- a/mulleinreach/gateway/known/tests/test_crashes.py
+++ b/mulleinreach/gateway/known/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which ends of upstreams hold a request back, and which don't."""
+"""The ends of upstreams that cause a request to be held, and those that don't."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ManualClock:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     def __init__(self):
         self.at = 1000.0
@@ -39,14 +39,14 @@
 
 
 class NullLog:
-    """Takes events and drops them."""
+    """A log that discards events."""
 
     def event(self, name: str, **fields: object) -> None:
-        """Drop an event."""
+        """Discard an event."""
 
 
 class TrackerHarness:
-    """A book, its clock, and what it has held."""
+    """A crash tracker with its clock and the contents that it has held."""
 
     def __init__(self, clock: ManualClock | None = None, seed: int = 1):
         self.clock = clock or ManualClock()
@@ -54,17 +54,17 @@
         self.tracker = CrashTracker(self.clock, NullLog(), random.Random(seed), self.held.append)
 
     def end(self, content: int, name: str, hall: str = "a", has_begun: bool = True) -> None:
-        """Note an end at an upstream of a name."""
+        """Record an end of a named upstream."""
         outcome = RunOutcome.ENDED_BEGUN if has_begun else RunOutcome.ENDED
         self.tracker.note_end(content, upstream(name, hall), outcome)
 
     def wait(self, seconds: float) -> None:
-        """Move the clock."""
+        """Advance the clock."""
         self.clock.at += seconds
 
 
 def upstream(name: str, hall: str = "a") -> Upstream:
-    """Return an upstream of a name."""
+    """Return an upstream with a name."""
     return Upstream(name, "models", Address("10.0.0.1", 80), hall)
 
 
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -1,4 +1,4 @@
-"""Facts that are told doubled, late and in any order exclude for as long as they should."""
+"""Holds and rests expire on time though messages are duplicated, late or reordered."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 CONTENTS = st.integers(0, 2)
 UPSTREAMS = st.sampled_from(["u0", "u1", "u2", "u3"])
 SECONDS = st.sampled_from([0.0, 0.05, 0.7, 30.0, 500.0, 1500.0])
-# What crosses the wire is dated from before it was asked for.
+# Holds are dated from when the report was requested, which is before they were sent.
 TRANSIT_S = st.sampled_from([0.0, 0.1, 0.6])
 ROUNDING_S = 1e-6
 
 
 class HeldContents(RuleBasedStateMachine):
-    """Nodes whose books hear of ends, and hand on what is held, also through replacements."""
+    """Nodes whose trackers exchange observations and holds, also when nodes are replaced."""
 
     def __init__(self):
         super().__init__()
         self.clock = ManualClock()
         self.harnesses = [TrackerHarness(self.clock, seed) for seed in range(NODES)]
-        # The end of the latest hold that any node has decided on by itself, by content.
+        # The expiry of the latest hold that a node has decided on itself, by content.
         self.expires_at: dict[int, float] = {}
         self.sent_holds: list[tuple[float, tuple[HeldContent, ...]]] = []
 
@@ -93,12 +93,12 @@
 
 
 def remaining_by_content(held: tuple[HeldContent, ...]) -> dict[int, float]:
-    """Return the times that remain, by content."""
+    """Return the remaining times by content."""
     return {h.content: round(h.remaining_s, 3) for h in held}
 
 
 class Rests(RuleBasedStateMachine):
-    """A node whose upstreams ask for rests of all lengths, and start again."""
+    """A node whose upstreams request rests of different lengths."""
 
     def __init__(self):
         super().__init__()
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Hosts' own reports are some tenths of a second old, and undo nothing that is newer."""
+"""Hosts' own reports are delayed and must not overwrite newer state."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _open_head(world):
-    """Return a host that heads an open group."""
+    """Return the host that is the head of an open group."""
     head = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, LARGE)[0]
     return world.fabric.hosts[head.upstream.id]
 
--- a/mulleinreach/gateway/known/tests/test_restored_store.py
+++ b/mulleinreach/gateway/known/tests/test_restored_store.py
@@ -1,10 +1,6 @@
-"""What nodes know is kept up to date by a store that came back from a copy.
+"""Nodes follow changes of a store that was restored from a copy, whose versions are lower.
 
-Requests went on to an upstream for 2.3 s after the store had taken its word that it leaves.
-The store had been away for a moment and had come back from a copy some seconds old, whose
-versions are lower. Each node took each answer about the list for one that a newer answer had
-overtaken, until the versions had risen beyond those it knew. Shown by the revision at which the
-list changed again, and by these tests without any other fault.
+Guards against nodes that discard its answers as outdated.
 """
 
 from __future__ import annotations
@@ -35,17 +31,16 @@
     make_configuration,
 )
 
-# How long the store has been back, as a caller would see it.
+# Time after the restore before the change under test.
 RECOVERY_S = 3.0
-# News of a change has to be everywhere within this time.
+# A change has to reach all nodes within this time.
 PROPAGATION_S = 0.5
 HEARTBEAT_S = 1.2
-# Upstreams that live are back two seconds after the store is; one that is not has left then, and
-# the bound on leaving upstreams is two seconds.
+# Two seconds for live upstreams to rewrite their rows, and the two-second bound on leaving ones.
 REMOVAL_S = 4.0
 REQUESTS = 12
 LEAVING = "desk-0"
-# Versions that the copy lacks, and such as are given out again before a node asks.
+# Number of versions that the copy lacks, and of those reissued before a node reads the store.
 LOST_WRITES = [0, 60]
 WRITES_AT_ONCE = [0, 200]
 
@@ -77,7 +72,7 @@
 
 
 async def _requests_reaching(world: GatewayWorld, name: str) -> list[str]:
-    """Return the requests that reach an upstream when callers ask all nodes."""
+    """Return the requests that reach an upstream when callers send to all nodes."""
     world.plain[name].seen.clear()
     await _request_all_nodes(world)
     return world.plain[name].seen
@@ -137,7 +132,7 @@
         for _ in range(3):
             await asyncio.sleep(1)
             assert await _requests_reaching(world, LEAVING) == []
-        # Three heartbeats of silence.
+        # The row expires after three missed heartbeats.
         world.store.put(UPSTREAMS, LEAVING, None)
         for _ in range(4):
             await asyncio.sleep(1)
@@ -195,7 +190,7 @@
             _write_drain(world)
         await asyncio.sleep(8)
         assert await _requests_reaching(world, LEAVING) == []
-        # A heartbeat that was on its way.
+        # A delayed heartbeat.
         _rewrite_row(world, LEAVING)
         await asyncio.sleep(1)
         assert await _requests_reaching(world, LEAVING) == []
@@ -241,7 +236,7 @@
         await asyncio.sleep(RECOVERY_S)
         calls = world.store.calls
         await asyncio.sleep(10)
-        # The coordinator's renewals, its two waits, and one look at what the copy showed.
+        # The coordinator's lease renewals, its two long polls, and one repeated read of the list.
         assert world.store.calls - calls < 40
 
     _run(test, nodes=5)
@@ -359,7 +354,7 @@
         for _ in range(int(HEARTBEAT_S / 0.1)):
             await asyncio.sleep(0.1)
             assert all(world.open_groups(LARGE, name) == 2 for name in world.nodes)
-        # What operators wrote before the copy was taken stands; hosts write the rest again.
+        # The copy holds the operators' rows; hosts rewrite the others.
         write_hosts_again(world.fabric)
         await asyncio.sleep(8)
         again = {h.id: h.standing.epoch for h in world.fabric.hosts.values() if h.standing}
--- a/mulleinreach/gateway/known/tests/test_starts.py
+++ b/mulleinreach/gateway/known/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""A later start of an upstream takes the place of an earlier one on a node's list."""
+"""A later start of an upstream replaces an earlier one in a node's list."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def host(name: str, started_ms: int | None = None) -> Upstream:
-    """Return a host at one of its starts."""
+    """Return one start of a host."""
     return Upstream(incarnation_id(name, started_ms), "models", Address("10.0.0.1", 80), "a")
 
 
@@ -16,7 +16,7 @@
 
 
 def directory_with(*upstreams: Upstream, replaced: list[str] | None = None) -> UpstreamDirectory:
-    """Return a directory that holds some upstreams."""
+    """Return a directory that lists some upstreams."""
     kept = [] if replaced is None else replaced
     directory = UpstreamDirectory(kept.append)
     directory.replace_all(5, list(upstreams), observed_at=1.0)
--- a/mulleinreach/gateway/known/tests/test_store_calls.py
+++ b/mulleinreach/gateway/known/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""How many calls to the store a deployment makes; each has its price."""
+"""The number of calls that a deployment makes to the store, which charges for each call."""
 
 from __future__ import annotations
 
@@ -13,13 +13,12 @@
 
 IDLE_S = 20
 OUTAGE_S = 10
-# Each node asks once for the configuration and for the list when it misses what the
-# coordinator passes on: it has to hear of what leaves also if only the coordinator is cut off.
+# Each node reads the configuration and the list once when the coordinator sends no data.
 DIRECT_READS_PER_NODE = 2
 
 
 async def count_calls(world, during_s: float) -> int:
-    """Return how many calls are made in so many seconds."""
+    """Return how many calls are made during a time."""
     before = world.store.calls
     await asyncio.sleep(during_s)
     return world.store.calls - before
@@ -89,7 +88,7 @@
             host = list(world.fabric.hosts.values())[number % 16]
             world.store.put(UPSTREAMS, host.id, host.describe())
             await asyncio.sleep(0.1)
-        # Four seconds of changes without an end, and the renewals.
+        # Four seconds of continuous changes, and the lease renewals.
         assert world.store.calls - before < 4 * 4 + 10
 
     run_world(test, nodes=3)
@@ -99,10 +98,10 @@
     ("outage", "nodes", "factor"),
     [
         ("is_down", 9, 2),
-        # Each of many nodes asks every three seconds.
+        # In a large deployment each node probes every three seconds.
         ("is_down", 68, 6),
         ("is_silent", 9, 2),
-        # A lost answer makes three calls of each renewal.
+        # Each lease renewal takes three calls if answers are lost.
         ("loses", 9, 4),
     ],
 )
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -1,4 +1,4 @@
-"""What the nodes believe of upstreams after the store was away."""
+"""Nodes keep upstreams, groups and the coordinator across an outage of the store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def _expire_all_rows(world) -> None:
-    """Take the store away, and return it without the hosts' rows."""
+    """Stop the store, and start it again without the hosts' rows."""
     world.store.is_down = True
     await asyncio.sleep(OUTAGE_S)
     for host in world.fabric.hosts:
@@ -188,7 +188,7 @@
     async def test(world):
         await world.until(lambda: world.coordinator() is not None)
         await asyncio.sleep(0.3)
-        # A node reads configuration, list and lease, and the lease once more.
+        # A node reads the configuration, the list, and the lease twice.
         assert world.store.calls < 4.5 * len(world.nodes)
 
     run_world(test, nodes=30, domains=0)
@@ -223,7 +223,7 @@
             await world.kill_node(name)
         await asyncio.sleep(1)
         for number, host in enumerate(world.fabric.hosts):
-            # The rows of some hosts stand, whatever group they are in.
+            # The rows of some hosts remain, in any group.
             if number % 3:
                 world.store.put(UPSTREAMS, host, None)
         for name in ("new-0", "new-1", "new-2"):
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/known/tests/test_store_turns.py
@@ -1,4 +1,4 @@
-"""When a node asks the store itself, as its coordinator comes and goes."""
+"""When a node reads the store directly, with and without a coordinator."""
 
 from __future__ import annotations
 
--- a/mulleinreach/gateway/known/tests/test_told_changes.py
+++ b/mulleinreach/gateway/known/tests/test_told_changes.py
@@ -1,4 +1,4 @@
-"""Each change of the list of upstreams is one line of the log."""
+"""Each change of the list of upstreams is logged as one line."""
 
 from __future__ import annotations
 
