--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -24,8 +24,8 @@
         "DRAIN",
         "an upstream's word that it leaves counts",
         f"{GATEWAY}/known/notices.py",
-        "is_news = notice.is_leaving and self._directory.mark_leaving(upstream.id)",
-        "is_news = notice.is_leaving",
+        "is_newly_leaving = notice.is_leaving and self._directory.mark_leaving(upstream.id)",
+        "is_newly_leaving = notice.is_leaving",
         f"{HEEDED} -k leaves",
     ),
     Breakage(
