--- a/mulleinreach/gateway/coordination/tests/test_restored_lease.py
+++ b/mulleinreach/gateway/coordination/tests/test_restored_lease.py
@@ -19,7 +19,7 @@
 from mulleinreach.standins.gateway.store import MemoryLease, MemoryStore
 from mulleinreach.standins.virtual import run_virtual
 
-LAPSED_S = 1.1 * LEASE_DURATION_S
+EXPIRY_WAIT_S = 1.1 * LEASE_DURATION_S
 # The next renewal, and one more after a look at the row.
 REELECTION_S = 1.0
 
@@ -36,7 +36,7 @@
     """Return a lease that a node has taken once it saw the row unchanged for long enough."""
     lease = make_lease(store, holder)
     await lease.read_state()
-    await asyncio.sleep(LAPSED_S)
+    await asyncio.sleep(EXPIRY_WAIT_S)
     assert await lease.read_state() is LeaseState.FREE
     assert await lease.acquire()
     return lease
@@ -52,7 +52,7 @@
 
 async def _assert_never_both_hold(first: CoordinatorLease, second: CoordinatorLease, act) -> None:
     """Let a node act again and again, as long as the other one may believe that it holds."""
-    for _ in range(int(LAPSED_S / 0.05)):
+    for _ in range(int(EXPIRY_WAIT_S / 0.05)):
         await act()
         assert not (first.is_held() and second.is_held())
         await asyncio.sleep(0.05)
