--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -118,7 +118,7 @@
         evacuated : the halls to be evacuated.
         revision : the revision of the store at which they were read.
         """
-        is_agreed = self.evacuations.take_passed(evacuated, revision, self.evidence_at)
+        is_agreed = self.evacuations.apply_published(evacuated, revision, self.evidence_at)
         if version > self.version and document:
             self._apply_document(document)
         if version > self.version:
