--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -133,7 +133,7 @@
 
     def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
-        self._crashes.take(sightings)
+        self._crashes.merge_observations(sightings)
 
     def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
@@ -196,7 +196,7 @@
         """
         totals = report.totals
         self._loads.update_totals(totals.loads, own_loads)
-        self._in_force.take_passed(
+        self._in_force.merge_coordinator_evidence(
             totals.configuration_version,
             asked_at - totals.configuration_age_s,
             report.configuration,
@@ -209,7 +209,7 @@
         if report.whole_list is not None:
             self._follower.take_coordinator_list(report.whole_list, asked_at - totals.list_age_s)
         if not report.is_list_unknown:
-            self._follower.take_passed(
+            self._follower.merge_coordinator_changes(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
             )
         self._cold_limit.set_number(report.number, totals.numbers, asked_at)
--- a/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
+++ b/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
@@ -1,4 +1,4 @@
-"""A new configuration is read once and passed on, whoever can read the store."""
+"""A new configuration is read by the coordinator and reaches all nodes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return {node.in_force.version for node in world.nodes.values()}
 
 
-def test_changes_are_in_force_everywhere_for_few_calls():
+def test_changes_reach_every_node_with_few_store_calls():
     async def test(world):
         await asyncio.sleep(3)
         calls_before = world.store.calls
@@ -25,14 +25,14 @@
             world.store.put(CONFIGURATION, "newest", make_configuration(version))
             await asyncio.sleep(PAUSE_S)
         assert _versions(world) == {1 + CHANGES}
-        # Only the coordinator reads: two waits and a renewal each half a second, and one
-        # more wait for each change.
+        # Only the coordinator calls the store: long polls, lease renewals, and one more long
+        # poll per change.
         assert world.store.calls - calls_before < 10 * CHANGES * PAUSE_S + 3 * CHANGES
 
     run_world(test, nodes=40, domains=0)
 
 
-def test_node_that_the_store_turns_away_follows_the_configuration():
+def test_node_that_the_store_refuses_follows_the_configuration():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -1,4 +1,4 @@
-"""Facts that are told doubled, late and in any order exclude for as long as they should."""
+"""Holds and rests expire on time though messages are duplicated, late or reordered."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 CONTENTS = st.integers(0, 2)
 UPSTREAMS = st.sampled_from(["u0", "u1", "u2", "u3"])
 SECONDS = st.sampled_from([0.0, 0.05, 0.7, 30.0, 500.0, 1500.0])
-# What crosses the wire is dated from before it was asked for.
+# Holds are dated from when the report was requested, which is before they were sent.
 TRANSIT_S = st.sampled_from([0.0, 0.1, 0.6])
 ROUNDING_S = 1e-6
 
 
 class HeldContents(RuleBasedStateMachine):
-    """Nodes whose books hear of ends, and hand on what is held, also through replacements."""
+    """Nodes whose trackers exchange observations and holds, also when nodes are replaced."""
 
     def __init__(self):
         super().__init__()
         self.clock = ManualClock()
         self.harnesses = [TrackerHarness(self.clock, seed) for seed in range(NODES)]
-        # The end of the latest hold that any node has decided on by itself, by content.
+        # The expiry of the latest hold that a node has decided on itself, by content.
         self.expires_at: dict[int, float] = {}
         self.sent_holds: list[tuple[float, tuple[HeldContent, ...]]] = []
 
@@ -49,8 +49,10 @@
 
     @rule(sender=st.integers(0, NODES - 1), receiver=st.integers(0, NODES - 1))
     def observations_are_sent(self, sender, receiver):
-        sent_holds = self.harnesses[sender].tracker.own_observations(includes_old=True)
-        self._note_decisions(lambda: self.harnesses[receiver].tracker.record(sent_holds))
+        observations = self.harnesses[sender].tracker.own_observations(includes_old=True)
+        self._note_decisions(
+            lambda: self.harnesses[receiver].tracker.merge_observations(observations)
+        )
 
     @rule(sender=st.integers(0, NODES - 1), transit_s=TRANSIT_S)
     def holds_are_sent(self, sender, transit_s):
@@ -82,21 +84,21 @@
 
     @invariant()
     def trackers_converge_in_any_order(self):
-        sent_holds = [harness.tracker.held() for harness in self.harnesses]
+        holds = [harness.tracker.held() for harness in self.harnesses]
         trackers = [TrackerHarness(self.clock, 90 + n).tracker for n in range(2)]
-        for tracker, order in zip(trackers, (sent_holds, sent_holds[::-1]), strict=True):
+        for tracker, order in zip(trackers, (holds, holds[::-1]), strict=True):
             for held in (*order, *order):
                 tracker.merge_held(held)
         assert remaining_by_content(trackers[0].held()) == remaining_by_content(trackers[1].held())
 
 
 def remaining_by_content(held: tuple[HeldContent, ...]) -> dict[int, float]:
-    """Return the times that remain, by content."""
+    """Return the remaining times by content."""
     return {h.content: round(h.remaining_s, 3) for h in held}
 
 
 class Rests(RuleBasedStateMachine):
-    """A node whose upstreams ask for rests of all lengths, and start again."""
+    """A node whose upstreams request rests of different lengths."""
 
     def __init__(self):
         super().__init__()
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Hosts' own reports are some tenths of a second old, and undo nothing that is newer."""
+"""Hosts' own reports are delayed and must not overwrite newer state."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def _open_head(world):
-    """Return a host that heads an open group."""
+    """Return the host that is the head of an open group."""
     head = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, LARGE)[0]
     return world.fabric.hosts[head.upstream.id]
 
 
-def test_report_from_before_a_host_left_does_not_put_it_back():
+def test_report_from_before_a_host_left_its_group_is_discarded():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -34,7 +34,7 @@
     run_world(test)
 
 
-def test_report_changes_nothing_that_it_does_not_tell():
+def test_report_leaves_the_drain_state_unchanged():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -49,7 +49,7 @@
     run_world(test)
 
 
-def test_head_that_has_just_left_is_joined_without_another_try():
+def test_group_is_formed_again_without_a_retry_after_a_member_fails():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
--- a/mulleinreach/gateway/known/tests/test_restored_store.py
+++ b/mulleinreach/gateway/known/tests/test_restored_store.py
@@ -1,10 +1,6 @@
-"""What nodes know is kept up to date by a store that came back from a copy.
+"""Nodes follow changes of a store that was restored from a copy, whose versions are lower.
 
-Requests went on to an upstream for 2.3 s after the store had taken its word that it leaves.
-The store had been away for a moment and had come back from a copy some seconds old, whose
-versions are lower. Each node took each answer about the list for one that a newer answer had
-overtaken, until the versions had risen beyond those it knew. Shown by the revision at which the
-list changed again, and by these tests without any other fault.
+Guards against nodes that discard its answers as outdated.
 """
 
 from __future__ import annotations
@@ -35,17 +31,16 @@
     make_configuration,
 )
 
-# How long the store has been back, as a caller would see it.
+# Time after the restore before the change under test.
 RECOVERY_S = 3.0
-# News of a change has to be everywhere within this time.
+# A change has to reach all nodes within this time.
 PROPAGATION_S = 0.5
 HEARTBEAT_S = 1.2
-# Upstreams that live are back two seconds after the store is; one that is not has left then, and
-# the bound on leaving upstreams is two seconds.
+# Two seconds for live upstreams to rewrite their rows, and the two-second bound on leaving ones.
 REMOVAL_S = 4.0
 REQUESTS = 12
 LEAVING = "desk-0"
-# Versions that the copy lacks, and such as are given out again before a node asks.
+# Number of versions that the copy lacks, and of those reissued before a node reads the store.
 LOST_WRITES = [0, 60]
 WRITES_AT_ONCE = [0, 200]
 
@@ -77,7 +72,7 @@
 
 
 async def _requests_reaching(world: GatewayWorld, name: str) -> list[str]:
-    """Return the requests that reach an upstream when callers ask all nodes."""
+    """Return the requests that reach an upstream when callers send to all nodes."""
     world.plain[name].seen.clear()
     await _request_all_nodes(world)
     return world.plain[name].seen
@@ -85,7 +80,7 @@
 
 @pytest.mark.parametrize("writes_at_once", WRITES_AT_ONCE)
 @pytest.mark.parametrize("lost_writes", LOST_WRITES)
-def test_leave_that_is_told_after_the_store_was_restored_is_heeded(lost_writes, writes_at_once):
+def test_drain_written_after_a_restore_takes_effect(lost_writes, writes_at_once):
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, writes_at_once=writes_at_once):
@@ -98,7 +93,7 @@
     _run(test)
 
 
-def test_leave_that_is_told_before_anybody_has_read_the_copy_is_heeded():
+def test_drain_written_before_any_node_reads_the_copy_takes_effect():
     async def test(world):
         await _start_upstreams(world)
         copy = world.store.copy()
@@ -115,7 +110,7 @@
     _run(test)
 
 
-def test_upstream_that_said_it_leaves_stays_so_when_the_store_has_forgotten_that():
+def test_draining_upstream_stays_draining_when_a_restore_loses_its_drain():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, age_s=PROPAGATION_S):
@@ -128,7 +123,7 @@
     _run(test)
 
 
-def test_upstream_that_was_off_the_list_gets_nothing_when_the_copy_still_names_it():
+def test_removed_upstream_gets_no_requests_when_the_copy_lists_it():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, age_s=1):
@@ -137,7 +132,7 @@
         for _ in range(3):
             await asyncio.sleep(1)
             assert await _requests_reaching(world, LEAVING) == []
-        # Three heartbeats of silence.
+        # The row expires after three missed heartbeats.
         world.store.put(UPSTREAMS, LEAVING, None)
         for _ in range(4):
             await asyncio.sleep(1)
@@ -146,7 +141,7 @@
     _run(test)
 
 
-def test_upstream_that_the_copy_names_is_used_again_if_it_lives():
+def test_removed_upstream_in_the_copy_is_used_again_if_its_row_persists():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, age_s=1):
@@ -158,7 +153,7 @@
     _run(test)
 
 
-def test_upstream_that_the_copy_lacks_serves_on():
+def test_upstream_missing_from_the_copy_keeps_serving():
     async def test(world):
         await _start_upstreams(world, 1)
         async with restored_after(world.store):
@@ -175,7 +170,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.0, 0.3])
-def test_upstream_that_the_copy_lacks_serves_on_though_nobody_missed_the_store(away_s):
+def test_upstream_missing_from_the_copy_serves_after_a_short_outage(away_s):
     async def test(world):
         await _start_upstreams(world, 1)
         async with restored_after(world.store, away_s=away_s):
@@ -187,7 +182,7 @@
     _run(test)
 
 
-def test_word_that_an_upstream_leaves_outlives_the_doubt_about_a_copy():
+def test_drain_outlasts_the_untrusted_period():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, age_s=PROPAGATION_S):
@@ -195,7 +190,7 @@
             _write_drain(world)
         await asyncio.sleep(8)
         assert await _requests_reaching(world, LEAVING) == []
-        # A heartbeat that was on its way.
+        # A delayed heartbeat.
         _rewrite_row(world, LEAVING)
         await asyncio.sleep(1)
         assert await _requests_reaching(world, LEAVING) == []
@@ -203,7 +198,7 @@
     _run(test)
 
 
-def test_upstream_that_the_copy_lacks_and_that_is_not_back_is_gone():
+def test_upstream_missing_from_the_copy_is_removed_if_it_is_not_relisted():
     async def test(world):
         await _start_upstreams(world, 1)
         async with restored_after(world.store):
@@ -214,7 +209,7 @@
     _run(test)
 
 
-def test_start_that_a_later_one_has_replaced_is_not_taken_from_the_copy():
+def test_replaced_start_is_not_taken_from_the_copy():
     async def test(world):
         await _start_upstreams(world, 1)
         address = Address("10.0.0.77", 9977)
@@ -233,7 +228,7 @@
     _run(test)
 
 
-def test_nodes_stop_reading_for_themselves_once_the_store_is_restored():
+def test_nodes_stop_direct_reads_once_the_store_is_restored():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store):
@@ -241,7 +236,7 @@
         await asyncio.sleep(RECOVERY_S)
         calls = world.store.calls
         await asyncio.sleep(10)
-        # The coordinator's renewals, its two waits, and one look at what the copy showed.
+        # The coordinator's lease renewals, its two long polls, and one repeated read of the list.
         assert world.store.calls - calls < 40
 
     _run(test, nodes=5)
@@ -249,7 +244,7 @@
 
 @pytest.mark.parametrize("writes_at_once", WRITES_AT_ONCE)
 @pytest.mark.parametrize("lost_writes", LOST_WRITES)
-def test_evacuation_that_is_asked_for_after_the_restore_is_heeded(lost_writes, writes_at_once):
+def test_evacuation_written_after_the_restore_takes_effect(lost_writes, writes_at_once):
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, writes_at_once=writes_at_once):
@@ -263,7 +258,7 @@
     _run(test, halls=2)
 
 
-def test_evacuation_that_the_copy_lacks_holds_until_it_is_written_again():
+def test_evacuation_missing_from_the_copy_stays_until_it_is_rewritten():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store):
@@ -284,7 +279,7 @@
     _run(test, halls=2)
 
 
-def test_evacuation_that_the_copy_lacks_outlives_another_row_that_is_written():
+def test_evacuation_missing_from_the_copy_survives_a_write_of_another_row():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store):
@@ -299,7 +294,7 @@
     _run(test, halls=2)
 
 
-def test_evacuation_that_is_not_written_again_ends():
+def test_evacuation_that_is_not_rewritten_expires():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store):
@@ -312,7 +307,7 @@
 
 
 @pytest.mark.parametrize("writes_at_once", WRITES_AT_ONCE)
-def test_configuration_that_is_written_after_the_restore_is_in_force(writes_at_once):
+def test_configuration_written_after_the_restore_takes_effect(writes_at_once):
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store, writes_at_once=writes_at_once):
@@ -331,7 +326,7 @@
     _run(test)
 
 
-def test_older_configuration_of_a_copy_proves_nothing():
+def test_older_configuration_of_a_copy_is_no_evidence():
     async def test(world):
         await _start_upstreams(world)
         async with restored_after(world.store):
@@ -349,7 +344,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.4, 2.4, 6.0])
-def test_groups_serve_on_when_the_copy_knows_nothing_of_them(away_s):
+def test_groups_keep_serving_when_the_copy_lacks_them(away_s):
     async def test(world):
         copy = world.store.copy()
         await world.until_formed()
@@ -359,7 +354,7 @@
         for _ in range(int(HEARTBEAT_S / 0.1)):
             await asyncio.sleep(0.1)
             assert all(world.open_groups(LARGE, name) == 2 for name in world.nodes)
-        # What operators wrote before the copy was taken stands; hosts write the rest again.
+        # The copy holds the operators' rows; hosts rewrite the others.
         write_hosts_again(world.fabric)
         await asyncio.sleep(8)
         again = {h.id: h.standing.epoch for h in world.fabric.hosts.values() if h.standing}
--- a/mulleinreach/gateway/known/tests/test_store_calls.py
+++ b/mulleinreach/gateway/known/tests/test_store_calls.py
@@ -1,4 +1,4 @@
-"""How many calls to the store a deployment makes; each has its price."""
+"""The number of calls that a deployment makes to the store, which charges for each call."""
 
 from __future__ import annotations
 
@@ -13,19 +13,18 @@
 
 IDLE_S = 20
 OUTAGE_S = 10
-# Each node asks once for the configuration and for the list when it misses what the
-# coordinator passes on: it has to hear of what leaves also if only the coordinator is cut off.
+# Each node reads the configuration and the list once when the coordinator sends no data.
 DIRECT_READS_PER_NODE = 2
 
 
 async def count_calls(world, during_s: float) -> int:
-    """Return how many calls are made in so many seconds."""
+    """Return how many calls are made during a time."""
     before = world.store.calls
     await asyncio.sleep(during_s)
     return world.store.calls - before
 
 
-def test_calm_deployment_makes_three_calls_a_second_at_most():
+def test_idle_deployment_makes_three_store_calls_a_second_at_most():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -51,7 +50,7 @@
 
 
 @pytest.mark.parametrize("silent", ["configuration", "upstreams"])
-def test_wait_that_has_fallen_silent_is_noticed(silent):
+def test_long_poll_that_stops_responding_is_detected(silent):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -80,7 +79,7 @@
     run_world(test, nodes=3)
 
 
-def test_list_is_read_often_only_while_somebody_waits_for_it():
+def test_list_reads_are_batched_unless_a_change_is_urgent():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -89,7 +88,7 @@
             host = list(world.fabric.hosts.values())[number % 16]
             world.store.put(UPSTREAMS, host.id, host.describe())
             await asyncio.sleep(0.1)
-        # Four seconds of changes without an end, and the renewals.
+        # Four seconds of continuous changes, and the lease renewals.
         assert world.store.calls - before < 4 * 4 + 10
 
     run_world(test, nodes=3)
@@ -99,14 +98,14 @@
     ("outage", "nodes", "factor"),
     [
         ("is_down", 9, 2),
-        # Each of many nodes asks every three seconds.
+        # In a large deployment each node probes every three seconds.
         ("is_down", 68, 6),
         ("is_silent", 9, 2),
-        # A lost answer makes three calls of each renewal.
+        # Each lease renewal takes three calls if answers are lost.
         ("loses", 9, 4),
     ],
 )
-def test_outage_costs_a_few_times_what_a_calm_time_does(outage, nodes, factor):
+def test_outage_multiplies_store_calls_by_a_small_factor(outage, nodes, factor):
     async def test(world):
         await asyncio.sleep(12)
         idle = await count_calls(world, OUTAGE_S)
@@ -123,7 +122,7 @@
     run_world(test, nodes=nodes, domains=0)
 
 
-def test_start_of_a_node_beside_a_coordinator_takes_two_calls_at_most():
+def test_node_start_with_a_coordinator_takes_two_store_calls_at_most():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
@@ -132,7 +131,7 @@
             node = await world.start_node(f"late-{number}")
             await world.until(node.is_ready, 0.3)
             await asyncio.sleep(0.7)
-            calls.append(sum(node.store_calls.take().values()))
+            calls.append(sum(node.store_calls.take_counts().values()))
             assert len(node.directory) == 16
         assert max(calls) <= 2
 
@@ -140,7 +139,7 @@
 
 
 @pytest.mark.parametrize("rows", [None, OperatorRows(1)])
-def test_renewal_that_named_no_or_another_configuration_proves_nothing(rows):
+def test_renewal_for_other_operator_rows_is_no_evidence(rows):
     async def test(world):
         await asyncio.sleep(3)
         holder = world.nodes[world.coordinator()]
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -227,7 +227,7 @@
             self._total_loads,
             lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
-            self.follower.read_anew,
+            self.follower.read_now,
             self.clock,
             self.log,
         )
@@ -272,7 +272,7 @@
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
-        self._tasks.spawn(self.store_calls.tell())
+        self._tasks.spawn(self.store_calls.log_counts())
         self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
         self.log.event("node_started", callers=self.identity.callers, hall=self.identity.hall)
 
@@ -307,7 +307,7 @@
         return self.coordination.is_hub
 
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
-        self.notices.take(upstream, notice)
+        self.notices.record(upstream, notice)
         if notice.limit_per_s is not None:
             self.limits.take(upstream.id, notice.limit_per_s)
 
