--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -92,7 +92,7 @@
         "CONFIG",
         "a key is not trusted on old evidence",
         f"{GATEWAY}/request/admission.py",
-        "if self._key_evidence_age_s() > self._bounds.key_evidence_s:",
+        "if self._key_evidence_age_s() > self._bounds.max_key_evidence_age_s:",
         "if False:",
         f"{GATEWAY}/request/tests/test_admission.py -k key",
     ),
--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -57,7 +57,7 @@
         "DRAIN",
         "answers to orders and questions are read",
         f"{GATEWAY}/node.py",
-        "self.ports.orders.listen(self._on_notice)",
+        "self.ports.orders.subscribe(self._on_notice)",
         "pass",
         f"{HEEDED} -k questions",
     ),
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, replace
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import (
     LeaseConflict,
     LeaseRead,
@@ -210,7 +210,7 @@
         """Take the lease that was last seen; fails if anybody wrote the row since."""
         sent_at = self._clock.now()
         secret = secrets.token_hex(SECRET_BYTES)
-        inheritance = self.record.inheritance if self.record else Inheritance()
+        inheritance = self.record.inheritance if self.record else HandoverState()
         token, era = self._highest_token + 1, self._era or 0
         record = LeaseRecord(self._holder, self._address, token, 0, secret, inheritance, era)
         result = await self._store.write(self._version, record)
@@ -233,7 +233,7 @@
         return await self.acquire()
 
     async def renew(
-        self, unchanged: OperatorRows | None = None, inheritance: Inheritance | None = None
+        self, unchanged: OperatorRows | None = None, inheritance: HandoverState | None = None
     ) -> Renewal:
         """Extend the lease, or take it up again while nobody has written the row since.
 
--- a/mulleinreach/gateway/coordination/passed_on.py
+++ b/mulleinreach/gateway/coordination/passed_on.py
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
 from mulleinreach.gateway.known.upstreams import ListChange
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
 
 
@@ -50,10 +50,10 @@
     async def read_unproven_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
 
-    def inheritance(self) -> Inheritance:
+    def inheritance(self) -> HandoverState:
         """Return what nodes that start should know."""
 
-    def take_inheritance(self, inheritance: Inheritance) -> None:
+    def take_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew."""
 
     def sightings(self, includes_old: bool) -> list[Sighting]:
--- a/mulleinreach/gateway/coordination/tests/test_successor.py
+++ b/mulleinreach/gateway/coordination/tests/test_successor.py
@@ -9,13 +9,13 @@
 
 from mulleinreach.gateway.coordination.lease import Successor
 from mulleinreach.gateway.coordination.succession import tell_replaced
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
 from mulleinreach.gateway.tests.support import run_world, turn_away
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import API_KEY, make_configuration
 
-STRICT = Bounds(key_evidence_s=4.5)
+STRICT = DeploymentBounds(max_key_evidence_age_s=4.5)
 NODES = 6
 
 
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -8,7 +8,7 @@
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.upstream_following import REINSTATED_S
 from mulleinreach.gateway.known.upstreams import Group, UpstreamDirectory
-from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_in_name
+from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
 LOST_MEMORY_S = 30.0
 # Retiring takes less; what is older concerns a group that is gone from the list.
@@ -111,7 +111,7 @@
                 self._last_model[upstream.id] = upstream.models[0]
             membership = upstream.membership
             if membership is not None and membership.rank == 0:
-                self._heads[upstream.place] = upstream.id
+                self._heads[upstream.group_key] = upstream.id
 
     def _note_cold(self, upstream: Upstream) -> None:
         """Note until when a host is cold, as its row told when it was new here."""
@@ -222,7 +222,7 @@
         if known is not None or upstream is None or upstream.membership is None:
             return known
         is_joined = upstream.membership.state is not MemberState.JOINING
-        return model_in_name(upstream.membership.group) if is_joined else None
+        return model_of_group(upstream.membership.group) if is_joined else None
 
     def get(self, host: str) -> Upstream | None:
         """Return a host, listed or remembered."""
@@ -394,4 +394,4 @@
 
 def stands_in(host: Upstream, group: Group) -> bool:
     """Whether a host says that it is a member of a group."""
-    return host.place == (group.name, group.epoch)
+    return host.group_key == (group.name, group.epoch)
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -234,9 +234,9 @@
         membership = host.membership
         if membership is None:
             return True
-        if self._hosts.has_left(host.id, host.place):
+        if self._hosts.has_left(host.id, host.group_key):
             return True
-        group = groups[host.place]
+        group = groups[host.group_key]
         # Members of a group are taken only once its head was told to leave: what is
         # known of the head may be old, and an order to open it may still be on its way.
         return is_standby(group) and membership.state is not MemberState.JOINING
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -51,7 +51,7 @@
         coordinator.operator._waits = 1
         stale = host.describe()
         host.report = lambda: stale
-        coordinator.hosts.mark_ended(Group(*head.place, {}), None)
+        coordinator.hosts.mark_ended(Group(*head.group_key, {}), None)
         for _ in range(400):
             await asyncio.sleep(0.05)
             world.store.put(UPSTREAMS, head.id, stale)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -28,7 +28,7 @@
 from mulleinreach.gateway.known.permits import PermitCount, SendPermits
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
 from mulleinreach.gateway.request.urgency import FirstWaits
 
@@ -123,9 +123,9 @@
         """Return the age of the latest proof that the configuration is the newest."""
         return self._in_force.evidence_age_s()
 
-    def inheritance(self) -> Inheritance:
+    def inheritance(self) -> HandoverState:
         """Return what nodes that start should know."""
-        return Inheritance(self._first_waits.known(), self._crashes.held())
+        return HandoverState(self._first_waits.known(), self._crashes.held())
 
     def sightings(self, includes_old: bool) -> list[Sighting]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
@@ -179,7 +179,7 @@
 
     # What is taken.
 
-    def take_inheritance(self, inheritance: Inheritance) -> None:
+    def take_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew of callers."""
         self._first_waits.take_told(inheritance.first_waits)
         self._crashes.take_held(inheritance.held)
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -13,7 +13,7 @@
 
 from mulleinreach.common import Address, Clock, EventLog
 from mulleinreach.gateway.coordination.numbering import NodeNumbers
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.cold import NUMBER_HOLDS_S, WINDOW_S, ColdRateLimit, quota
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import Configuration
@@ -28,7 +28,7 @@
     make_configuration,
 )
 
-BOUNDS = Bounds(cold_ratio=1.5, cold_slack=5.0)
+BOUNDS = DeploymentBounds(cold_ratio=1.5, cold_slack=5.0)
 COLD_S, COLD_PER_S = 12.0, 4.0
 BOUND = COLD_PER_S * BOUNDS.cold_ratio + BOUNDS.cold_slack
 WORLD = {"nodes": 6, "halls": 3, "domains": 3, "hosts_per_domain": 6, "bounds": BOUNDS}
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mulleinreach.common import EventLog, VirtualClock
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.evacuations import EMPTYING_PART, NEVER, Evacuations
 from mulleinreach.gateway.ports import EvacuationRow
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
@@ -17,7 +17,7 @@
 from mulleinreach.standins.gateway.world import SMALL
 from mulleinreach.standins.virtual import run_virtual
 
-BOUND_S = Bounds.evacuation_s
+BOUND_S = DeploymentBounds.evacuation_s
 HALL = "hall-a"
 # In calm times the coordinator reads the request at once, and the next report passes it on.
 HEARD_S = 0.3
--- a/mulleinreach/gateway/model.py
+++ b/mulleinreach/gateway/model.py
@@ -36,7 +36,7 @@
     is_public : whether a request needs no API key.
     is_resumable : whether a stream may be continued at another replica.
     gap_objective_s : the longest pause between events that is in time.
-    homes : the regions whose upstreams may serve it; ``None`` if any may.
+    allowed_regions : the regions whose upstreams may serve it; ``None`` if any may.
     """
 
     name: str
@@ -51,7 +51,7 @@
     is_public: bool = False
     is_resumable: bool = False
     gap_objective_s: float = 1.0
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
     @property
     def is_repeatable(self) -> bool:
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class RequestLimits:
     """Bounds on what a caller may send."""
 
     header_bytes: int = 16_384
@@ -141,13 +141,13 @@
     Parameters
     ==========
 
-    homes : the regions whose upstreams may serve it; ``None`` if any may.
+    allowed_regions : the regions whose upstreams may serve it; ``None`` if any may.
     """
 
     name: str
     api_keys: frozenset[str]
     priority: int | None = None
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 @dataclass(frozen=True)
@@ -157,7 +157,7 @@
     version: int
     routes: tuple[Route, ...] = ()
     services: dict[str, Service] = field(default_factory=dict)
-    limits: Limits = field(default_factory=Limits)
+    limits: RequestLimits = field(default_factory=RequestLimits)
     organisations: tuple[Organisation, ...] | None = None
     _by_host: dict[str, list[Route]] = field(
         default_factory=dict, init=False, repr=False, compare=False
@@ -190,7 +190,7 @@
                 return route
         return None
 
-    def organisation_of(self, key: str) -> Organisation | None:
+    def organisation_for_key(self, key: str) -> Organisation | None:
         """Return the organisation that holds an API key."""
         return self._by_key.get(key)
 
@@ -201,7 +201,7 @@
 
 
 @dataclass(frozen=True)
-class RouteWait:
+class CallerTimeout:
     """What nearly all callers of a route wait for at least when they first ask, in seconds."""
 
     route: str
@@ -217,7 +217,7 @@
 
 
 @dataclass(frozen=True)
-class Inheritance:
+class HandoverState:
     """What a coordinator has learnt and nodes that start should know.
 
     Parameters
@@ -227,5 +227,5 @@
     held : the requests that end the upstreams which run them.
     """
 
-    first_waits: tuple[RouteWait, ...] = ()
+    first_waits: tuple[CallerTimeout, ...] = ()
     held: tuple[HeldContent, ...] = ()
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -16,7 +16,7 @@
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
 from mulleinreach.gateway.coordination.membership import Coordination
 from mulleinreach.gateway.coordination.totals import sum_loads
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostBook
@@ -41,7 +41,7 @@
 from mulleinreach.gateway.known.waking import WakeWatch
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
-from mulleinreach.gateway.model import Limits
+from mulleinreach.gateway.model import RequestLimits
 from mulleinreach.gateway.ports import Ports
 from mulleinreach.gateway.request.active import ActiveExchanges
 from mulleinreach.gateway.request.admission import Admission
@@ -76,7 +76,7 @@
     def __init__(
         self,
         identity: GatewayIdentity,
-        bounds: Bounds,
+        bounds: DeploymentBounds,
         ports: Ports,
         network: Network | None = None,
         clock: Clock | None = None,
@@ -110,7 +110,7 @@
         self.limits = LimitBook(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
         self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams)
-        self.ports.orders.listen(self._on_notice)
+        self.ports.orders.subscribe(self._on_notice)
         self.crashes = CrashBook(self.clock, self.log, self.rng, self._on_held)
         turn = reading_turn(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
@@ -218,7 +218,7 @@
         )
         self.controller = FleetController(
             self.identity.hall,
-            self.bounds.halls_at_once >= 1,
+            self.bounds.max_lost_halls >= 1,
             self.hosts,
             self.operator,
             self.in_force,
@@ -287,7 +287,7 @@
 
     def _idle_timeout_s(self) -> float:
         configuration = self.in_force.configuration
-        limits = configuration.limits if configuration else Limits()
+        limits = configuration.limits if configuration else RequestLimits()
         return limits.idle_timeout_s
 
     # What the slices ask and tell.
--- a/mulleinreach/gateway/request/tests/test_admission.py
+++ b/mulleinreach/gateway/request/tests/test_admission.py
@@ -38,7 +38,7 @@
 def test_key_is_not_trusted_while_the_store_is_silent():
     async def test(world):
         await serve_desk(world, answer_whole)
-        bound_s = world.nodes["node-0"].bounds.key_evidence_s
+        bound_s = world.nodes["node-0"].bounds.max_key_evidence_age_s
         world.store.is_silent = True
         await asyncio.sleep(bound_s + 2)
         answer = await world.call("/order/1")
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.fleet.loads import WINDOW_S, LoadGate
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import EXTRA_RESUMES
@@ -29,7 +29,7 @@
 
 def test_second_sends_of_all_nodes_keep_within_the_budget():
     async def test():
-        bounds, clock, rng = Bounds(), VirtualClock(), random.Random(3)
+        bounds, clock, rng = DeploymentBounds(), VirtualClock(), random.Random(3)
         budgets = [WindowedRetryBudget(bounds, clock, lambda: NODES) for _ in range(NODES)]
         requests, seconds = [], []
         for _ in range(6000):
--- a/mulleinreach/gateway/request/tests/test_callers.py
+++ b/mulleinreach/gateway/request/tests/test_callers.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from mulleinreach.gateway.model import Limits
+from mulleinreach.gateway.model import RequestLimits
 from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST
 from mulleinreach.standins.gateway.world import make_configuration
 
 PARTS = [b"part-%d;" % number for number in range(50)]
-SMALL_BODY = Limits(body_bytes=100)
+SMALL_BODY = RequestLimits(body_bytes=100)
 
 
 class _Reader:
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -7,14 +7,14 @@
 import pytest
 
 from mulleinreach.gateway.coordination import membership
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
 from mulleinreach.gateway.tests.support import run_world, turn_away
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import make_configuration
 
-LENIENT = Bounds(key_evidence_s=6.3, trusts_keys_in_outages=True)
-STRICT = Bounds(key_evidence_s=6.3)
+LENIENT = DeploymentBounds(max_key_evidence_age_s=6.3, trusts_keys_in_outages=True)
+STRICT = DeploymentBounds(max_key_evidence_age_s=6.3)
 LONG_OUTAGE_S = 12.0
 OPTIONS = {"domains": 0, "hosts_per_domain": 0, "nodes": 4}
 
@@ -64,7 +64,7 @@
         # A wait that was under way may still be answered.
         await asyncio.sleep(1)
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset()))
-        await asyncio.sleep(LENIENT.key_evidence_s + 0.3)
+        await asyncio.sleep(LENIENT.max_key_evidence_age_s + 0.3)
         for status in (await _statuses(world)).values():
             assert status in (401, 503)
 
--- a/mulleinreach/gateway/request/tests/test_shortage.py
+++ b/mulleinreach/gateway/request/tests/test_shortage.py
@@ -7,13 +7,13 @@
 import pytest
 
 from mulleinreach.common.log import format_value
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.explain import explain_request, parse_line
 from mulleinreach.gateway.tests.desk import answer_whole, refuse
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
 
-BOUND_S = Bounds.evacuation_s
+BOUND_S = DeploymentBounds.evacuation_s
 
 
 def _keep_lines(world) -> list[str]:
--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -6,8 +6,8 @@
     Configuration,
     EngineModel,
     EngineProfile,
-    Limits,
     Organisation,
+    RequestLimits,
     Route,
     RouteKind,
     Service,
@@ -46,7 +46,7 @@
         is_public=bool(raw.get("public", False)),
         is_resumable=bool(raw.get("resumable", False)),
         gap_objective_s=float(raw.get("gap_target_ms", 1000)) / 1000,
-        homes=_parse_homes(raw),
+        allowed_regions=_parse_homes(raw),
     )
 
 
@@ -93,9 +93,9 @@
     )
 
 
-def _parse_limits(raw: dict) -> Limits:
-    usual = Limits()
-    return Limits(
+def _parse_limits(raw: dict) -> RequestLimits:
+    usual = RequestLimits()
+    return RequestLimits(
         header_bytes=int(raw.get("max_header_bytes", usual.header_bytes)),
         body_bytes=int(raw.get("max_body_bytes", usual.body_bytes)),
         header_timeout_s=float(raw.get("header_timeout_ms", usual.header_timeout_s * 1000)) / 1000,
@@ -109,5 +109,5 @@
         name=str(raw["name"]),
         api_keys=frozenset(str(key) for key in raw.get("api_keys", [])),
         priority=None if priority is None else int(priority),
-        homes=_parse_homes(raw),
+        allowed_regions=_parse_homes(raw),
     )
--- a/mulleinreach/platform/tests/test_notices.py
+++ b/mulleinreach/platform/tests/test_notices.py
@@ -61,7 +61,7 @@
 def test_answers_to_orders_and_reports_are_told():
     async def test(orders, replica):
         told = []
-        orders.listen(lambda host, notice: told.append((host.id, notice)))
+        orders.subscribe(lambda host, notice: told.append((host.id, notice)))
         replica.headers = {LEAVING: "1", RETRY_AFTER: "3"}
         await orders.open(HOST, "g", 12, 3)
         await orders.report(HOST, 0.3)
--- a/mulleinreach/platform/tests/test_translation.py
+++ b/mulleinreach/platform/tests/test_translation.py
@@ -18,8 +18,8 @@
         "tenants": [{"name": "o", "api_keys": ["k"], "allowed_regions": ["south"]}],
     }
     configuration = parse_configuration(raw)
-    assert configuration.match("h.example", "/a/").homes == {"north", "south"}
-    assert configuration.organisation_of("k").homes == {"south"}
+    assert configuration.match("h.example", "/a/").allowed_regions == {"north", "south"}
+    assert configuration.organisation_for_key("k").allowed_regions == {"south"}
     services = configuration.services
     assert (services["s"].cold_s, services["s"].cold_per_s) == (8.0, 2.5)
     assert (services["t"].cold_s, services["t"].cold_per_s) == (0.0, 0.0)
@@ -27,8 +27,8 @@
 
 def test_configuration_without_homes_binds_nobody():
     configuration = parse_configuration(DOCUMENT)
-    assert configuration.match("h.example", "/a/").homes is None
-    assert configuration.organisation_of("k").homes is None
+    assert configuration.match("h.example", "/a/").allowed_regions is None
+    assert configuration.organisation_for_key("k").allowed_regions is None
 
 
 @pytest.mark.parametrize(("told", "cold_s"), [({}, 0.0), ({"cold_remaining_ms": 2500}, 2.5)])
--- a/mulleinreach/standins/gateway/orders.py
+++ b/mulleinreach/standins/gateway/orders.py
@@ -20,7 +20,7 @@
         self._fabric = fabric
         self._on_notice: Callable[[Upstream, Notice], None] = lambda host, notice: None
 
-    def listen(self, on_notice: Callable[[Upstream, Notice], None]) -> None:
+    def subscribe(self, on_notice: Callable[[Upstream, Notice], None]) -> None:
         """Have what hosts say of themselves in their answers told, too."""
         self._on_notice = on_notice
 
