--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -17,7 +17,11 @@
 from mulleinreach.gateway.coordination.reports import NodeReport
 from mulleinreach.gateway.coordination.tests.limit_desk import Desk
 from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.tests.limited import allowed, most_in_a_window, rate
+from mulleinreach.gateway.tests.limited import (
+    max_allowed_requests,
+    max_requests_in_window,
+    requests_per_s,
+)
 
 NODES = (8, 30, 350)
 LIMITS = (0.5, 1.1, 2.0, 20.0)
@@ -47,8 +51,8 @@
                 desk.ask_and_wait(number)
         desk.allocate(set(range(nodes)))
         desk.clock.at += step_s
-    used = rate(desk.sent_at, began_at + WARM_UP_S, began_at + SECONDS) / limit
-    return used, most_in_a_window(desk.sent_at)
+    used = requests_per_s(desk.sent_at, began_at + WARM_UP_S, began_at + SECONDS) / limit
+    return used, max_requests_in_window(desk.sent_at)
 
 
 def cost_of_allocation(nodes: int) -> tuple[float, float]:
@@ -78,7 +82,7 @@
             )
             for demand in demands:
                 used, most = use_of_limit(nodes, limit, demand)
-                bound = allowed(limit)
+                bound = max_allowed_requests(limit)
                 print(f"| {nodes} | {limit} | {demand.name} | {used:.2f} | {most}, {bound:g} |")
     print(f"\n{LIMITED_UPSTREAMS} limits, all nodes want permits for all of them:")
     for nodes in NODES:
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -12,7 +12,7 @@
 from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, Desk
 from mulleinreach.gateway.known.limits import NamedLimit, permit_s
 from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.tests.limited import assert_kept, rate
+from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
 
 ROUND_S = 0.1
 # So much of a limit is to be used where there are requests enough; of a low one a permit that
@@ -45,8 +45,8 @@
                 desk.ask(number)
         desk.allocate(everybody)
         desk.clock.at += ROUND_S
-    assert_kept(desk.sent_at, limit)
-    assert rate(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
+    assert_limit_kept(desk.sent_at, limit)
+    assert requests_per_s(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
 
 
 @pytest.mark.parametrize("nodes", [8, 30, 350])
@@ -60,8 +60,8 @@
                 desk.ask_and_wait(rng.randrange(nodes))
         desk.allocate(set(range(nodes)))
         desk.clock.at += ROUND_S
-    assert_kept(desk.sent_at, limit)
-    assert rate(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
+    assert_limit_kept(desk.sent_at, limit)
+    assert requests_per_s(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
 
 
 def test_permits_follow_demand_that_moves():
@@ -72,7 +72,7 @@
             desk.ask(number)
             desk.allocate(set(range(8)))
             desk.clock.at += ROUND_S
-    assert rate(desk.sent_at, moved_at + 3, moved_at + 20) >= USED * 2.0
+    assert requests_per_s(desk.sent_at, moved_at + 3, moved_at + 20) >= USED * 2.0
 
 
 def test_what_nobody_wanted_for_long_is_not_given_out_at_once():
@@ -141,7 +141,7 @@
     @invariant()
     def limit_is_kept(self):
         if hasattr(self, "desk"):
-            assert_kept(self.desk.sent_at, self.desk.limit)
+            assert_limit_kept(self.desk.sent_at, self.desk.limit)
 
 
 def test_word_of_a_coordinator_dates_permits_from_what_it_answers():
--- a/mulleinreach/gateway/coordination/tests/test_successor.py
+++ b/mulleinreach/gateway/coordination/tests/test_successor.py
@@ -10,8 +10,8 @@
 from mulleinreach.gateway.coordination.lease import Successor
 from mulleinreach.gateway.coordination.succession import tell_replaced
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import API_KEY, make_configuration
 
@@ -25,13 +25,13 @@
     others = [name for name in world.nodes if name != coordinator]
     away = [coordinator, *others[: NODES // 2 - 1]]
     for name in away:
-        turn_away(world.nodes[name])
+        block_store_access(world.nodes[name])
     return away
 
 
 def test_half_of_the_nodes_turned_away_with_the_coordinator_serve_on():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(3)
         away = await turn_half_away(world)
         refused = 0
@@ -47,7 +47,7 @@
 
 def test_nodes_turned_away_follow_what_the_new_coordinator_reads():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(3)
         away = await turn_half_away(world)
         await asyncio.sleep(4)
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -12,7 +12,7 @@
 from mulleinreach.gateway.fleet.loads import WINDOW_S, LoadGate
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import EXTRA_RESUMES
-from mulleinreach.gateway.tests.noticed import ask_for, large_heads
+from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import DEADLINE_MS, REQUEST_ID, SIGNATURE
 from mulleinreach.standins.gateway.world import PROFILE, make_configuration
@@ -138,7 +138,7 @@
             failing.fails = 10_000
         breaking = heads[2]
         breaking.breaks_after = 2
-        await ask_for(12.0, lambda: world.stream(6))
+        await request_repeatedly(12.0, lambda: world.stream(6))
         route = next(r for r in make_configuration().routes if r.name == "stream")
         runs = world.fabric.checks.runs.values()
         assert any(breaking.id in ran_at and len(ran_at) > 1 for ran_at in runs)
