--- a/benchmarks/control_traffic.py
+++ b/benchmarks/control_traffic.py
@@ -14,7 +14,7 @@
 from mulleinreach.common import Address
 from mulleinreach.gateway.coordination.frames import FrameWriter
 from mulleinreach.gateway.coordination.hub import report_interval_s
-from mulleinreach.gateway.coordination.lease import RENEW_S, SECRET_BYTES
+from mulleinreach.gateway.coordination.lease import RENEW_INTERVAL_S, SECRET_BYTES
 from mulleinreach.gateway.coordination.messages import (
     encode_coordinator_report,
     encode_list,
@@ -129,7 +129,7 @@
         ("messages taken a second", reports_s, others * reports_s, "the same connection"),
         ("KiB sent a second", up / KIB, others * down / KIB, "packed, before compression"),
         ("KiB taken a second", down / KIB, others * up / KIB, "packed, before compression"),
-        ("renewals of the lease a second", 0, 1 / RENEW_S, "a write under conditions"),
+        ("renewals of the lease a second", 0, 1 / RENEW_INTERVAL_S, "a write under conditions"),
         ("waits at the store a second, at rest", 0, 2 / LONG_WAIT_S, "two tables, long polls"),
     ]
     lines = ["", "| what | a node | the coordinator | mechanism |", "|---|---|---|---|"]
--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -46,7 +46,7 @@
         "BUDGET",
         "the coordinator joins the sightings of all nodes",
         f"{GATEWAY}/coordination/hub.py",
-        "self._knowledge.take_sightings(report.sightings)",
+        "self._knowledge.merge_sightings(report.sightings)",
         "pass",
         CRASHING,
     ),
--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -172,7 +172,7 @@
         "CONFIG",
         "keys outlive only an outage for all: there was time to leave",
         f"{GATEWAY}/coordination/hub.py",
-        "return self._clock.now() - self._resigned_at > REPLACED_BY_S",
+        "return self._clock.now() - self._resigned_at > REPLACEMENT_DEADLINE_S",
         "return True",
         f"{GATEWAY}/request/tests/test_keys_in_outages.py",
     ),
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -15,7 +15,7 @@
 from mulleinreach.gateway.coordination.messages import encode_node_report
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import NodeReport
-from mulleinreach.gateway.coordination.tests.limit_desk import Desk
+from mulleinreach.gateway.coordination.tests.limit_desk import LimitHarness
 from mulleinreach.gateway.known.permits import PermitCount
 from mulleinreach.gateway.tests.limited import (
     max_allowed_requests,
@@ -41,7 +41,7 @@
 
 def use_of_limit(nodes: int, limit: float, demand: Demand) -> tuple[float, int]:
     """Return how much of a limit is used, and the most requests within a window."""
-    desk, rng = Desk(nodes, limit), random.Random(nodes)
+    desk, rng = LimitHarness(nodes, limit), random.Random(nodes)
     askers = [0] if demand.is_at_one else range(nodes)
     began_at, step_s = desk.clock.now(), report_interval_s(nodes)
     while desk.clock.now() < began_at + SECONDS:
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -40,10 +40,10 @@
 MAX_BUFFERED_BYTES = 262_144
 # A node that can read the store has by then noticed that its evidence is old (1.5 s),
 # has read and asked for the lease (0.3 s), and has left a coordinator that resigned.
-REPLACED_BY_S = 2.0
+REPLACEMENT_DEADLINE_S = 2.0
 # A hall that fails is found within some seconds of its nodes' last reports. Nodes that were
 # taken away should not count for longer.
-HEARD_MEMORY_S = 5.0
+RECENT_NODE_TTL_S = 5.0
 
 
 def report_interval_s(node_count: int) -> float:
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class HeardNode:
+class RecentNode:
     """A node as it was heard last; its connection may have ended since then.
 
     Parameters
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True)
-class _Heard:
+class _ReceivedReport:
     report: NodeReport
     at: float
 
@@ -109,7 +109,7 @@
         self._knowledge = knowledge
         self._own_report = own_report
         self._members: dict[object, _Member] = {}
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedReport] = {}
         self._server: asyncio.AbstractServer | None = None
         self._shortener = TotalsShortener()
         self._latest_totals: bytes | None = None
@@ -136,7 +136,7 @@
             self._has_deserters = False
         self._resignation = resignation
 
-    def is_store_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether no node can read the store, as far as can be told here.
 
         A node that can read it replaces a coordinator that has resigned, and leaves.
@@ -144,7 +144,7 @@
         """
         if self._resignation is None or self._has_deserters or not self._members:
             return False
-        return self._clock.now() - self._resigned_at > REPLACED_BY_S
+        return self._clock.now() - self._resigned_at > REPLACEMENT_DEADLINE_S
 
     async def listen(self) -> None:
         """Listen for other nodes; they are heard while the hub is open."""
@@ -172,7 +172,7 @@
             totals = replace(
                 totals,
                 resignation=self.resignation,
-                is_store_away=self.is_store_away(),
+                is_store_unavailable=self.is_store_unavailable(),
                 successor=self.successor,
                 numbers=self._numbers(),
             )
@@ -193,11 +193,11 @@
             known = [m for m in self._members.values() if m.report is not None]
             self._numbering.update(known, self._clock.now())
             return self._numbering.count
-        return self._numbering.count if self.is_store_away() else 0
+        return self._numbering.count if self.is_store_unavailable() else 0
 
     def _allocate_permits(self, own_report: NodeReport) -> dict[_Member | None, list[PermitCount]]:
         """Return the permits that each member gets now; this node's own stand at ``None``."""
-        if not (self._lease.is_held() or self.is_store_away()):
+        if not (self._lease.is_held() or self.is_store_unavailable()):
             return {}
         wanted: dict[_Member | None, tuple[PermitCount, ...]] = {None: own_report.wanted}
         for member in self._members.values():
@@ -263,19 +263,21 @@
             m.report for m in self._members.values() if m.report is not None
         ]
 
-    def heard_nodes(self) -> list[HeardNode]:
+    def recent_nodes(self) -> list[RecentNode]:
         """Return the nodes that were heard lately, connected or not, our own first."""
         now = self._clock.now()
-        self._heard = {n: h for n, h in self._heard.items() if now - h.at <= HEARD_MEMORY_S}
-        others = [HeardNode(heard.report, now - heard.at) for heard in self._heard.values()]
-        return [HeardNode(self._own_report(), 0.0), *others]
+        self._received = {
+            n: h for n, h in self._received.items() if now - h.at <= RECENT_NODE_TTL_S
+        }
+        others = [RecentNode(heard.report, now - heard.at) for heard in self._received.values()]
+        return [RecentNode(self._own_report(), 0.0), *others]
 
-    def _note_heard(self, report: NodeReport) -> None:
+    def _record_report(self, report: NodeReport) -> None:
         """Note when a node was heard; one that stops as planned is silent from then on."""
         if report.is_stopping:
-            self._heard.pop(report.node, None)
+            self._received.pop(report.node, None)
         else:
-            self._heard[report.node] = _Heard(report, self._clock.now())
+            self._received[report.node] = _ReceivedReport(report, self._clock.now())
 
     def _take_successor(self, successor: Successor) -> None:
         """Take the word of a new coordinator, which has read this one's secret in the row."""
@@ -299,9 +301,9 @@
                     return
                 is_first = member.report is None
                 member.report = report
-                self._knowledge.take_sightings(report.sightings)
-                self._knowledge.take_limits(report.limits)
-                self._note_heard(report)
+                self._knowledge.merge_sightings(report.sightings)
+                self._knowledge.merge_limits(report.limits)
+                self._record_report(report)
                 if is_first and self._latest_totals is not None:
                     # What a node knows at its start it should know at once.
                     self._report_to(member, self._latest_totals)
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -36,14 +36,14 @@
 from mulleinreach.gateway.revision import era_of
 
 LEASE_S = 2.0
-RENEW_S = 0.7
+RENEW_INTERVAL_S = 0.7
 # What is left of a lease at least right before a renewal, while the store answers in time.
 FRESH_S = 1.1
 SECRET_BYTES = 16
 CLOCK_RATE_MARGIN = 0.02
 # How much tokens rise where a store was restored: more than holders can have changed within the
 # seconds that its copy lacks.
-LOST_TOKENS = 100
+RESTORE_TOKEN_INCREMENT = 100
 NEVER = float("-inf")
 
 
@@ -56,17 +56,17 @@
     UNKNOWN = enum.auto()
 
 
-class Renewal(enum.Enum):
+class RenewalOutcome(enum.Enum):
     """What came of an attempt to renew the lease.
 
-    ``DONE_CHANGED``: renewed, but the configuration is not the one that was named.
-    ``DONE_BEFORE``: an earlier renewal, whose answer was lost, has been carried out.
+    ``RENEWED_ROWS_CHANGED``: renewed, but the configuration is not the one that was named.
+    ``RENEWED_BY_EARLIER_WRITE``: an earlier renewal, whose answer was lost, has been carried out.
     ``UNKNOWN``: the store gave no answer, and the row may still be ours.
     """
 
-    DONE = enum.auto()
-    DONE_CHANGED = enum.auto()
-    DONE_BEFORE = enum.auto()
+    RENEWED = enum.auto()
+    RENEWED_ROWS_CHANGED = enum.auto()
+    RENEWED_BY_EARLIER_WRITE = enum.auto()
     UNKNOWN = enum.auto()
     LOST = enum.auto()
 
@@ -188,7 +188,7 @@
         if not is_restored or self.is_held():
             return
         self._others_may_hold_until = self._clock.now() + LEASE_S * (1 + CLOCK_RATE_MARGIN)
-        self._highest_token += LOST_TOKENS
+        self._highest_token += RESTORE_TOKEN_INCREMENT
         self._log.event("lease_row_restored", era=result.era, token=self.token)
 
     def _may_lack_holder(self, result: LeaseRead) -> bool:
@@ -234,18 +234,18 @@
 
     async def renew(
         self, unchanged: OperatorRows | None = None, inheritance: HandoverState | None = None
-    ) -> Renewal:
+    ) -> RenewalOutcome:
         """Extend the lease, or take it up again while nobody has written the row since.
 
         Parameters
         ==========
 
-        unchanged : the operators' rows, if they are known. ``DONE`` proves that they had
+        unchanged : the operators' rows, if they are known. ``RENEWED`` proves that they had
             written nothing newer when the renewal began.
         inheritance : what nodes that start should know; as it was if it is left out.
         """
         if self.fenced.is_set():
-            return Renewal.LOST
+            return RenewalOutcome.LOST
         sent_at = self._clock.now()
         current = self.record
         inheritance = inheritance or current.inheritance
@@ -261,14 +261,14 @@
             result = await self._store.write(self._version, record)
         if isinstance(result, LeaseWritten):
             self._hold(record, result, sent_at)
-            return Renewal.DONE_CHANGED if is_changed else Renewal.DONE
+            return RenewalOutcome.RENEWED_ROWS_CHANGED if is_changed else RenewalOutcome.RENEWED
         if isinstance(result, LeaseConflict):
             return await self._look_for_late_write()
         if self._unanswered is None or self._unanswered[0] != record.renewal:
             self._unanswered = (record.renewal, sent_at)
-        return Renewal.UNKNOWN
+        return RenewalOutcome.UNKNOWN
 
-    async def _look_for_late_write(self) -> Renewal:
+    async def _look_for_late_write(self) -> RenewalOutcome:
         """Find out whether the row was changed by a write of ours whose answer was lost.
 
         Such a write extends the lease from when it was first sent, however late the
@@ -276,16 +276,16 @@
         """
         result = await self._store.read()
         if isinstance(result, Unavailable):
-            return Renewal.UNKNOWN
+            return RenewalOutcome.UNKNOWN
         self._take(result)
         if result.record is None or result.record.holder != self._holder:
             self._held_until = NEVER
-            return Renewal.LOST
+            return RenewalOutcome.LOST
         if self._unanswered is not None and self._unanswered[0] == result.record.renewal:
             self._held_until = self._unanswered[1] + LEASE_S * (1 - CLOCK_RATE_MARGIN)
             self._unanswered = None
-            return Renewal.DONE_BEFORE
-        return Renewal.UNKNOWN
+            return RenewalOutcome.RENEWED_BY_EARLIER_WRITE
+        return RenewalOutcome.UNKNOWN
 
     def _hold(self, record: LeaseRecord, result: LeaseWritten, sent_at: float) -> None:
         self.record = record
@@ -311,7 +311,7 @@
             "", successor.address, successor.token, renewal=0, secret=successor.secret
         )
 
-    def note_fenced(self) -> None:
+    def mark_fenced(self) -> None:
         """Note that a host has seen an order under a higher token: this term is over for good."""
         self._log.event("lease_fenced", token=self.token)
         self.fenced.set()
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -20,14 +20,14 @@
 from mulleinreach.gateway.coordination.election import election_delay_s
 from mulleinreach.gateway.coordination.follower import EndReason, Follower
 from mulleinreach.gateway.coordination.frames import PeerError
-from mulleinreach.gateway.coordination.hub import HeardNode, MemberHub
+from mulleinreach.gateway.coordination.hub import MemberHub, RecentNode
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, LeaseState, Resignation
 from mulleinreach.gateway.coordination.own_report import OwnReports
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.coordination.succession import tell_replaced
+from mulleinreach.gateway.coordination.succession import notify_replaced
 from mulleinreach.gateway.coordination.term import CoordinatorTerm
 from mulleinreach.gateway.deployment import GatewayIdentity
 from mulleinreach.gateway.known.load import LoadBook
@@ -109,9 +109,9 @@
         """Return the latest report of each node, our own first."""
         return self._hub.node_reports()
 
-    def heard_nodes(self) -> list[HeardNode]:
+    def recent_nodes(self) -> list[RecentNode]:
         """Return the nodes that were heard lately, our own first."""
-        return self._hub.heard_nodes()
+        return self._hub.recent_nodes()
 
     async def run(self) -> None:
         """Take part for ever."""
@@ -136,7 +136,7 @@
         """Read the lease's row, and what its holder left there for nodes that start."""
         state = await self._lease.look()
         if self._lease.record is not None:
-            self._knowledge.take_inheritance(self._lease.record.inheritance)
+            self._knowledge.apply_inheritance(self._lease.record.inheritance)
         return state
 
     async def _follow(self, address: Address) -> None:
@@ -188,7 +188,7 @@
             return
         own = self._lease.as_successor()
         telling = asyncio.create_task(
-            tell_replaced(replaced, own, self._identity.name, self._network, self._log)
+            notify_replaced(replaced, own, self._identity.name, self._network, self._log)
         )
         try:
             await self._coordinate()
--- a/mulleinreach/gateway/coordination/messages.py
+++ b/mulleinreach/gateway/coordination/messages.py
@@ -189,7 +189,7 @@
         configAgeMs=_milliseconds(totals.configuration_age_s),
         listRevision=totals.list_revision,
         listAgeMs=_milliseconds(totals.list_age_s),
-        storeAway=totals.is_store_away,
+        storeAway=totals.is_store_unavailable,
         keepsRemoved=totals.keeps_removed,
         operatorRevision=totals.operator_revision,
         numbers=min(totals.numbers, MAX_COUNT),
--- a/mulleinreach/gateway/coordination/numbering.py
+++ b/mulleinreach/gateway/coordination/numbering.py
@@ -10,7 +10,7 @@
 # Seconds between two changes of the numbers, and before the first ones of a term: those from
 # before the last change have lapsed, and requests sent by them count no more. A tenth is for
 # clocks that don't run alike.
-STEADY_S = NUMBER_HOLDS_S + WINDOW_S + 0.1
+RENUMBERING_INTERVAL_S = NUMBER_HOLDS_S + WINDOW_S + 0.1
 
 
 class NodeNumbers:
@@ -42,7 +42,7 @@
     def update(self, members: Collection[Hashable], now: float) -> None:
         """Number the members anew if they have changed and the last change is long ago."""
         is_same = self.count > 0 and self._numbers.keys() == set(members)
-        if is_same or now - self._changed_at < STEADY_S:
+        if is_same or now - self._changed_at < RENUMBERING_INTERVAL_S:
             return
         kept = {member: n for member, n in self._numbers.items() if member in members}
         taken = set(kept.values())
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -78,7 +78,7 @@
             self._knowledge.configuration_version(),
             hall=self._identity.hall,
             sightings=self._knowledge.sightings(includes_old=is_introducing),
-            limits=self._knowledge.untold_limits(includes_told=is_introducing),
+            limits=self._knowledge.unreported_limits(includes_told=is_introducing),
             wanted=self._knowledge.wanted_permits(),
         )
 
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -12,11 +12,11 @@
 
 # Permits that may gather while nobody wants them. With fewer, those are lost that become due
 # between two rounds of reports.
-BURST = 2.0
+BURST_PERMITS = 2.0
 # Seconds of an upstream's rate that may gather, where that is more: a round of reports.
 BURST_S = 0.25
 # For clocks that don't run alike.
-MARGIN_S = 0.1
+CLOCK_SKEW_MARGIN_S = 0.1
 
 Node = TypeVar("Node", bound=Hashable)
 
@@ -43,7 +43,7 @@
     ===========
 
     Permits are drawn from a token bucket. Within any time of T seconds no more are spent than
-    ``limit * (T + permit_s(limit)) + max(BURST, BURST_S * limit)``, whatever becomes of messages.
+    ``limit * (T + permit_s(limit)) + max(BURST_PERMITS, BURST_S * limit)``, whatever becomes of messages.
 
     Parameters
     ==========
@@ -87,7 +87,7 @@
                 wants_by_upstream[want.upstream_id][node] = want.count
         given: dict[Node, list[PermitCount]] = defaultdict(list)
         for upstream_id, limit in limits.items():
-            if now - self._begun_at < permit_s(limit) + MARGIN_S:
+            if now - self._begun_at < permit_s(limit) + CLOCK_SKEW_MARGIN_S:
                 continue
             per_s = bearable_per_s(limit)
             counts = self._allocate_one(upstream_id, per_s, wants_by_upstream[upstream_id], now)
@@ -101,7 +101,7 @@
         """Return how many permits for one upstream each node gets."""
         account = self._accounts.setdefault(upstream_id, _Account(1.0, now))
         gathered = account.balance + (now - account.at) * per_s
-        account.balance, account.at = min(gathered, max(BURST, BURST_S * per_s)), now
+        account.balance, account.at = min(gathered, max(BURST_PERMITS, BURST_S * per_s)), now
         account.credits = {n: c for n, c in account.credits.items() if n in wants}
         counts: dict[Node, int] = defaultdict(int)
         while account.balance >= 1 and wants:
--- a/mulleinreach/gateway/coordination/succession.py
+++ b/mulleinreach/gateway/coordination/succession.py
@@ -19,7 +19,7 @@
 CONNECT_S = 0.5
 
 
-async def tell_replaced(
+async def notify_replaced(
     replaced: LeaseRecord, successor: Successor, node: str, network: Network, log: EventLog
 ) -> None:
     """Tell the holder of an earlier record who is in its place now.
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -16,9 +16,9 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.hub import MemberHub
 from mulleinreach.gateway.coordination.lease import (
-    RENEW_S,
+    RENEW_INTERVAL_S,
     CoordinatorLease,
-    Renewal,
+    RenewalOutcome,
     Resignation,
     Successor,
 )
@@ -29,10 +29,10 @@
 RENEW_AGAIN_S = 0.15
 # Seconds until the next renewal after one that was done.
 RENEW_PAUSES_S = {
-    Renewal.DONE: RENEW_S,
-    Renewal.DONE_CHANGED: RENEW_S,
+    RenewalOutcome.RENEWED: RENEW_INTERVAL_S,
+    RenewalOutcome.RENEWED_ROWS_CHANGED: RENEW_INTERVAL_S,
     # The next answer may be lost too, and the lease counts from the earlier write.
-    Renewal.DONE_BEFORE: 0.3,
+    RenewalOutcome.RENEWED_BY_EARLIER_WRITE: 0.3,
 }
 # Without the lease there is no hurry but to find out that the store is back.
 TAKE_UP_AGAIN_S = 0.5
@@ -108,7 +108,7 @@
         """
         duty = asyncio.create_task(self._coordinate())
         fenced = asyncio.create_task(self._lease.fenced.wait())
-        pause_s, renewal = RENEW_S, Renewal.DONE
+        pause_s, renewal = RENEW_INTERVAL_S, RenewalOutcome.RENEWED
         try:
             while not self._own_reports.is_stopping:
                 waits = {duty, reporting, fenced}
@@ -121,30 +121,30 @@
                     self._log.event("duty_failed", why=repr(done.pop().exception()))
                     return False
                 renewal = await self._renew()
-                if renewal is Renewal.LOST:
+                if renewal is RenewalOutcome.LOST:
                     return False
                 if not self._lease.is_held():
                     return True
                 pause_s = RENEW_PAUSES_S.get(renewal, RENEW_AGAIN_S)
             # A node that stops hands the lease over, unless nobody can take it.
-            return renewal is Renewal.UNKNOWN
+            return renewal is RenewalOutcome.UNKNOWN
         finally:
             duty.cancel()
             fenced.cancel()
             await asyncio.gather(duty, fenced, return_exceptions=True)
 
-    async def _renew(self) -> Renewal:
+    async def _renew(self) -> RenewalOutcome:
         """Renew the lease, and have the same write prove what is known of the store."""
         rows = self._knowledge.operator_rows()
         asked_at = self._clock.now()
         renewal = await self._lease.renew(rows, self._knowledge.inheritance())
-        if renewal is Renewal.DONE:
+        if renewal is RenewalOutcome.RENEWED:
             self._knowledge.confirm(rows, asked_at)
-        elif renewal is Renewal.DONE_CHANGED:
+        elif renewal is RenewalOutcome.RENEWED_ROWS_CHANGED:
             await self._knowledge.read_changed_rows(rows)
-        elif renewal is Renewal.DONE_BEFORE:
-            await self._knowledge.read_unproven_rows()
-        elif renewal is Renewal.UNKNOWN:
+        elif renewal is RenewalOutcome.RENEWED_BY_EARLIER_WRITE:
+            await self._knowledge.read_unconfirmed_rows()
+        elif renewal is RenewalOutcome.UNKNOWN:
             self._knowledge.note_store_failed()
         return renewal
 
@@ -162,9 +162,9 @@
                 return False
             self._hub.resignation = Resignation(self._lease.token, self._lease.record.renewal)
             renewal = await self._renew()
-            if renewal is Renewal.LOST:
+            if renewal is RenewalOutcome.LOST:
                 return False
-            if renewal is not Renewal.UNKNOWN and self._lease.is_held():
+            if renewal is not RenewalOutcome.UNKNOWN and self._lease.is_held():
                 self._hub.resignation = None
                 self._log.event("lease_taken_up_again", token=self._lease.token)
                 return True
--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -15,7 +15,7 @@
 UPSTREAM = make_upstream("u", "desk", 1, None)
 
 
-class Desk:
+class LimitHarness:
     """Nodes that send to one upstream with a limit, and the coordinator that they hear."""
 
     def __init__(self, nodes: int, limit: float):
--- a/mulleinreach/gateway/coordination/tests/test_restored_lease.py
+++ b/mulleinreach/gateway/coordination/tests/test_restored_lease.py
@@ -9,10 +9,10 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.lease import (
     LEASE_S,
-    RENEW_S,
+    RENEW_INTERVAL_S,
     CoordinatorLease,
     LeaseState,
-    Renewal,
+    RenewalOutcome,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.restoring import restore, write_hosts_again, write_others
@@ -110,8 +110,8 @@
         assert await lease.acquire()
         copy = store.copy()
         for _ in range(4):
-            await asyncio.sleep(RENEW_S)
-            assert await lease.renew() is Renewal.DONE
+            await asyncio.sleep(RENEW_INTERVAL_S)
+            assert await lease.renew() is RenewalOutcome.RENEWED
         store.restore(copy)
         write_others(store, 9)
         for _ in range(20):
@@ -141,11 +141,11 @@
         assert await lease.acquire()
         copy = store.copy()
         store.loses = True
-        assert await lease.renew() is Renewal.UNKNOWN
+        assert await lease.renew() is RenewalOutcome.UNKNOWN
         store.loses = False
         store.restore(copy)
-        assert await lease.renew() is Renewal.UNKNOWN
-        assert await lease.renew() is Renewal.DONE
+        assert await lease.renew() is RenewalOutcome.UNKNOWN
+        assert await lease.renew() is RenewalOutcome.RENEWED
 
     run_virtual(test())
 
--- a/mulleinreach/gateway/coordination/tests/test_successor.py
+++ b/mulleinreach/gateway/coordination/tests/test_successor.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mulleinreach.gateway.coordination.lease import Successor
-from mulleinreach.gateway.coordination.succession import tell_replaced
+from mulleinreach.gateway.coordination.succession import notify_replaced
 from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import block_store_access, run_world
@@ -68,7 +68,7 @@
         other = next(node for node in world.nodes.values() if node is not holder)
         forged = replace(holder.lease.record, secret=secret)
         successor = Successor(99, "10.0.0.1:1", "mine")
-        await tell_replaced(forged, successor, other.identity.name, other.network, other.log)
+        await notify_replaced(forged, successor, other.identity.name, other.network, other.log)
         await asyncio.sleep(0.3)
         assert holder.coordination._hub.successor is None
 
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -131,15 +131,15 @@
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
         return self._crashes.own_sightings(includes_old)
 
-    def take_sightings(self, sightings: list[Sighting]) -> None:
+    def merge_sightings(self, sightings: list[Sighting]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
         self._crashes.take(sightings)
 
-    def untold_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
+    def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
         return self._permits.limits.untold(includes_told)
 
-    def take_limits(self, named: tuple[NamedLimit, ...]) -> None:
+    def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Take what another node knows of the limits of upstreams."""
         self._permits.limits.take_reported(named)
 
@@ -167,7 +167,7 @@
         if self._in_force.operator_rows() == rows:
             await self._in_force.read_anew()
 
-    async def read_unproven_rows(self) -> None:
+    async def read_unconfirmed_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
         self._follower.confirm(self._loads.now())
         if self._in_force.evidence_age_s() > UNPROVEN_S:
@@ -179,7 +179,7 @@
 
     # What is taken.
 
-    def take_inheritance(self, inheritance: HandoverState) -> None:
+    def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew of callers."""
         self._first_waits.take_told(inheritance.first_waits)
         self._crashes.take_held(inheritance.held)
@@ -204,7 +204,7 @@
             totals.operator_revision,
         )
         self._follower.take_outage(totals.keeps_removed)
-        if totals.is_store_away:
+        if totals.is_store_unavailable:
             self._in_force.note_store_away(asked_at)
         if report.whole_list is not None:
             self._follower.take_whole(report.whole_list, asked_at - totals.list_age_s)
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinreach.gateway.coordination.lease import Renewal, Resignation
+from mulleinreach.gateway.coordination.lease import RenewalOutcome, Resignation
 from mulleinreach.gateway.known.upstream_following import TOLD_TO_KEEP_S
 from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.tests.support import block_store_access, run_world
@@ -179,7 +179,7 @@
         assert await other.lease.acquire_after(
             Resignation(old.lease.token, old.lease.record.renewal)
         )
-        assert await old.lease.renew() is Renewal.LOST
+        assert await old.lease.renew() is RenewalOutcome.LOST
 
     run_world(test, nodes=2)
 
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -223,7 +223,7 @@
             self.operator,
             self.in_force,
             self._all_loads,
-            lambda: self.coordination.heard_nodes(),
+            lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
             self.follower.read_anew,
             self.clock,
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -102,7 +102,7 @@
             block_store_access(node)
         for _ in range(100):
             await asyncio.sleep(0.1)
-            assert not coordinator.coordination._hub.is_store_away()
+            assert not coordinator.coordination._hub.is_store_unavailable()
 
     run_world(test, bounds=LENIENT, **OPTIONS)
 
