--- a/mulleinreach/gateway/deployment.py
+++ b/mulleinreach/gateway/deployment.py
@@ -61,10 +61,10 @@
 
     name: str
     hall: str
-    callers: Address
-    readiness: Address
-    peers: Address
-    metrics: Address | None = None
+    callers_address: Address
+    readiness_address: Address
+    peers_address: Address
+    metrics_address: Address | None = None
     processor_cores: float = 1.0
     link_mbps: float = 1000.0
     is_first_start: bool = False
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -168,7 +168,7 @@
     async def test(world):
         await world.until_formed()
         coordinator = world.nodes[world.coordinator()]
-        address = coordinator.identity.peers
+        address = coordinator.identity.peers_address
         reader, writer = await world.nodes["node-0"].network.connect(address)
         report = NodeReport("intruder", [LoadReport("u", 9, 0, 9.0, 9.0)], secret="guess")
         FrameWriter(writer).write(encode_node_report(report))
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -191,7 +191,7 @@
             await asyncio.sleep(0.05)
         # One of each model in both domains.
         assert _open_groups_in(world, hall) >= 4
-        assert most_loads <= PROFILE.loads_at_once
+        assert most_loads <= PROFILE.max_concurrent_loads
         callers.stop()
 
     run_world(test, **HALLS)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -36,7 +36,7 @@
 UNPROVEN_S = 0.7
 
 
-class SharedKnowledge:
+class SharedState:
     """One node's side of the exchange.
 
     Parameters
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -265,7 +265,7 @@
 
     def _tell_unusable(self, result: UpstreamsRead, is_full: bool) -> None:
         """Log rows that name no upstream, each when it comes or when its reason changes."""
-        read = {row.name: row.why for row in result.unusable}
+        read = {row.name: row.reason for row in result.unusable}
         for name, why in read.items():
             if self._unusable.get(name) != why:
                 self._log.event("row_unusable", row=name, why=why)
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -20,7 +20,7 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostBook
-from mulleinreach.gateway.knowledge import SharedKnowledge
+from mulleinreach.gateway.knowledge import SharedState
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.known.content import format_digest
@@ -200,7 +200,7 @@
         self.lease = CoordinatorLease(
             CountedLease(self.ports.lease, self.store_calls),
             holder,
-            str(self.identity.peers),
+            str(self.identity.peers_address),
             self.clock,
             self.log,
             self.identity.is_first_start,
@@ -238,7 +238,7 @@
             self.log,
             self.rng,
             self.controller.run,
-            SharedKnowledge(
+            SharedState(
                 self.in_force,
                 self.follower,
                 self.directory,
@@ -259,20 +259,22 @@
         await self.coordination.listen()
         callers = await self._serve(
             self.relay.handle,
-            self.identity.callers,
+            self.identity.callers_address,
             CALLERS_IDLE_TIMEOUT_S,
             self._callers_socket,
         )
-        await self._serve(self._answer_ready, self.identity.readiness)
-        if self.identity.metrics is not None:
-            await self._serve(self._answer_metrics, self.identity.metrics)
+        await self._serve(self._answer_ready, self.identity.readiness_address)
+        if self.identity.metrics_address is not None:
+            await self._serve(self._answer_metrics, self.identity.metrics_address)
         self._tasks.spawn(self.relay.connections.watch(callers, self._idle_timeout_s))
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
         self._tasks.spawn(self.store_calls.tell())
         self._tasks.spawn(WakeWatch(suspended_s, self._describe_wake, self.log).run())
-        self.log.event("node_started", callers=self.identity.callers, hall=self.identity.hall)
+        self.log.event(
+            "node_started", callers=self.identity.callers_address, hall=self.identity.hall
+        )
 
     async def _serve(
         self,
@@ -387,10 +389,10 @@
             self.relay.connections.close_all(server.connections)
         while self.relay.in_flight and self.clock.now() < give_up_at:
             await asyncio.sleep(STOP_POLL_S)
-        await self.kill()
+        await self.abort()
         self.log.event("node_stopped", in_flight=self.relay.in_flight)
 
-    async def kill(self) -> None:
+    async def abort(self) -> None:
         """End everything at once."""
         await self._tasks.close()
         await self.coordination.close()
--- a/mulleinreach/gateway/ports.py
+++ b/mulleinreach/gateway/ports.py
@@ -96,7 +96,7 @@
     """
 
     name: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -120,7 +120,7 @@
         while gate.may_begin(PROFILE):
             gate.begin()
             running += 1
-        assert running <= PROFILE.loads_at_once
+        assert running <= PROFILE.max_concurrent_loads
 
     run_virtual(test())
 
--- a/mulleinreach/gateway/request/tests/test_connections.py
+++ b/mulleinreach/gateway/request/tests/test_connections.py
@@ -33,7 +33,7 @@
 def test_idle_time_follows_the_configuration_on_open_connections(sends_first):
     async def test(world):
         node = world.nodes["node-0"]
-        reader, writer = await node.network.connect(node.identity.callers)
+        reader, writer = await node.network.connect(node.identity.callers_address)
         _allow_idle(world, 2, 40)
         if sends_first:
             writer.write(REQUEST)
@@ -51,7 +51,7 @@
         _allow_idle(world, 2, 2)
         await asyncio.sleep(1)
         node = world.nodes["node-0"]
-        reader, writer = await node.network.connect(node.identity.callers)
+        reader, writer = await node.network.connect(node.identity.callers_address)
         for _ in range(5):
             await asyncio.sleep(1.5)
             writer.write(REQUEST)
@@ -65,7 +65,7 @@
     async def test(world):
         await world.until_formed()
         node = world.nodes["node-0"]
-        reader, writer = await node.network.connect(node.identity.callers)
+        reader, writer = await node.network.connect(node.identity.callers_address)
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(2.0)
         long_stream = asyncio.create_task(world.stream(80, node="node-0"))
--- a/mulleinreach/gateway/request/tests/test_leaving_callers.py
+++ b/mulleinreach/gateway/request/tests/test_leaving_callers.py
@@ -116,7 +116,7 @@
 def test_while_its_body_is_read():
     async def test(world):
         await world.until_formed()
-        address = world.nodes["node-0"].identity.callers
+        address = world.nodes["node-0"].identity.callers_address
         _, writer = await world.nodes["node-0"].network.connect(address)
         head = (
             f"POST /stream/draft HTTP/1.1\r\nHost: {CALLER_HOST}\r\n"
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -78,7 +78,7 @@
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
-        reader, writer = await node.network.connect(node.identity.callers)
+        reader, writer = await node.network.connect(node.identity.callers_address)
         running = asyncio.create_task(world.call("/order/1", b"2 tins"))
         stopping = asyncio.create_task(node.stop())
         await running
--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -86,9 +86,9 @@
         per_sequence_ms=float(raw.get("per_seq_ms", 0)),
         read_tokens_per_s=float(raw["read_per_s"]),
         stride=int(raw.get("stride", 1)),
-        form_s=float(raw.get("form_ms", 0)) / 1000,
+        formation_s=float(raw.get("form_ms", 0)) / 1000,
         loads_per_s=float(raw.get("loads_per_s", 1)),
-        loads_at_once=int(raw.get("loads_at_once", 1)),
+        max_concurrent_loads=int(raw.get("loads_at_once", 1)),
         report_lag_s=float(raw.get("report_lag_ms", 200)) / 1000,
     )
 
--- a/mulleinreach/platform/tests/test_settings.py
+++ b/mulleinreach/platform/tests/test_settings.py
@@ -50,7 +50,7 @@
 
 def test_complete_settings_are_read():
     settings = make_settings(parse_lines(COMPLETE))
-    assert settings.identity.peers.port == 7340
+    assert settings.identity.peers_address.port == 7340
     assert settings.bounds.max_key_evidence_age_s == 4.5
     assert settings.identity.processor_cores == 1.0
     assert str(settings.store) == "10.200.1.7:8223"
--- a/mulleinreach/standins/gateway/world.py
+++ b/mulleinreach/standins/gateway/world.py
@@ -58,7 +58,7 @@
     read_tokens_per_s=46_000.0,
     stride=5,
     loads_per_s=4.0,
-    loads_at_once=6,
+    max_concurrent_loads=6,
 )
 
 
@@ -244,13 +244,17 @@
         identity = GatewayIdentity(
             name,
             hall,
-            callers=Address("10.0.0.1", self._port()),
-            readiness=Address("10.0.0.1", self._port()),
-            peers=Address("10.0.0.1", self._port()),
+            callers_address=Address("10.0.0.1", self._port()),
+            readiness_address=Address("10.0.0.1", self._port()),
+            peers_address=Address("10.0.0.1", self._port()),
             processor_cores=processor_cores,
             regions=self._regions,
         )
-        for address in (identity.callers, identity.readiness, identity.peers):
+        for address in (
+            identity.callers_address,
+            identity.readiness_address,
+            identity.peers_address,
+        ):
             self.links.names[str(address)] = name
         self.links.accept(name)
         network = VirtualNetwork(self.links, name)
@@ -278,7 +282,7 @@
     async def kill_node(self, name: str) -> None:
         """End a node as a crash would."""
         self.links.refuse(name)
-        await self.nodes.pop(name).kill()
+        await self.nodes.pop(name).abort()
 
     async def lose_hall(self, hall: str) -> None:
         """Cut the power of a hall: its nodes and hosts fall silent in one moment."""
@@ -286,7 +290,7 @@
             host.is_dark = True
         names = [name for name, node in self.nodes.items() if node.identity.hall == hall]
         self.links.darken(names)
-        await asyncio.gather(*(self.nodes.pop(name).kill() for name in names))
+        await asyncio.gather(*(self.nodes.pop(name).abort() for name in names))
 
     def hosts_in(self, hall: str) -> list[HostStandIn]:
         """Return the hosts that stand in a hall."""
@@ -349,7 +353,7 @@
         }
         if key is not None:
             headers["Authorization"] = key
-        url = chosen.identity.callers.url + path
+        url = chosen.identity.callers_address.url + path
         async with self._session.request(method, url, data=body, headers=headers) as response:
             parts = []
             try:
@@ -367,7 +371,7 @@
     async def close(self) -> None:
         """End everything."""
         for node in self.nodes.values():
-            await node.kill()
+            await node.abort()
         await self.crashes.close()
         await self.fabric.close()
         for server, listener in self._listeners:
