--- a/mulleinreach/gateway/listening.py
+++ b/mulleinreach/gateway/listening.py
@@ -19,7 +19,10 @@
 
 
 async def serve(
-    handler: Handler, address: Address, idle_timeout_s: float, listening: socket.socket | None
+    handler: Handler,
+    address: Address,
+    idle_timeout_s: float,
+    listening_socket: socket.socket | None,
 ) -> tuple[web.Server, asyncio.AbstractServer]:
     """Have a handler answer the requests that come to an address.
 
@@ -27,7 +30,7 @@
     ==========
 
     idle_timeout_s : how long a connection may rest between two requests.
-    listening : a socket that listens there already; ``None`` if nothing does.
+    listening_socket : a socket that listens there already; ``None`` if nothing does.
     """
     server = web.Server(
         handler,
@@ -39,8 +42,8 @@
         max_field_size=MAX_LINE_BYTES,
     )
     loop = asyncio.get_running_loop()
-    if listening is None:
+    if listening_socket is None:
         listener = await loop.create_server(server, address.host, address.port, backlog=BACKLOG)
     else:
-        listener = await loop.create_server(server, sock=listening, backlog=BACKLOG)
+        listener = await loop.create_server(server, sock=listening_socket, backlog=BACKLOG)
     return server, listener
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -58,10 +58,10 @@
 CONNECT_TIMEOUT_S = 0.35
 # Callers' connections are closed earlier, after the idle time of the configuration.
 CALLERS_IDLE_TIMEOUT_S = 3600.0
-LIST_TURN_S = 0.03
-STOP_TAIL_S = 1.0
-STOP_QUIET_S = 2.9
-STOP_POLL_S = 0.05
+UPSTREAM_LIST_READ_DELAY_S = 0.03
+ABORT_MARGIN_S = 1.0
+BALANCER_DRAIN_S = 2.9
+STOP_POLL_INTERVAL_S = 0.05
 
 
 class GatewayNode:
@@ -109,14 +109,14 @@
         self.active = ActiveExchanges()
         self.limits = LimitBook(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
-        self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams)
+        self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams_changed)
         self.ports.orders.subscribe(self._on_notice)
-        self.crashes = CrashBook(self.clock, self.log, self.rng, self._on_held)
+        self.crashes = CrashBook(self.clock, self.log, self.rng, self._on_content_held)
         turn = reading_turn(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
         # The answer to the first question tells whether the second is worth asking.
-        list_turn = replace(turn, extra_s=turn.extra_s + LIST_TURN_S)
+        list_turn = replace(turn, extra_s=turn.extra_s + UPSTREAM_LIST_READ_DELAY_S)
         evacuations = Evacuations(
             self.bounds.evacuation_s, self.identity.regions, self.clock, self.log
         )
@@ -136,7 +136,7 @@
             evacuations,
             self.clock,
             self.log,
-            self._reads_for_all,
+            self._reads_store_for_all,
             turn,
         )
         self.follower = UpstreamFollower(
@@ -144,8 +144,8 @@
             self.directory,
             self.clock,
             self.log,
-            self._reads_for_all,
-            self._on_upstreams,
+            self._reads_store_for_all,
+            self._on_upstreams_changed,
             lambda: self.operator.is_waiting,
             list_turn,
             self.bounds.heartbeat_s,
@@ -222,7 +222,7 @@
             self.hosts,
             self.operator,
             self.in_force,
-            self._all_loads,
+            self._total_loads,
             lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
             self.follower.read_anew,
@@ -263,9 +263,9 @@
             CALLERS_IDLE_TIMEOUT_S,
             self._callers_socket,
         )
-        await self._serve(self._answer_ready, self.identity.readiness_address)
+        await self._serve(self._handle_readiness, self.identity.readiness_address)
         if self.identity.metrics_address is not None:
-            await self._serve(self._answer_metrics, self.identity.metrics_address)
+            await self._serve(self._handle_metrics, self.identity.metrics_address)
         self._tasks.spawn(self.relay.connections.watch(callers, self._idle_timeout_s))
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
@@ -281,9 +281,9 @@
         handler,
         address: Address,
         idle_timeout_s: float = IDLE_TIMEOUT_S,
-        listening: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> web.Server:
-        server, listener = await serve(handler, address, idle_timeout_s, listening)
+        server, listener = await serve(handler, address, idle_timeout_s, listening_socket)
         self._servers.append((server, listener))
         return server
 
@@ -303,7 +303,7 @@
             role = StoreRole.ALONE
         return pause_s(role, self._node_count(), failures)
 
-    def _reads_for_all(self) -> bool:
+    def _reads_store_for_all(self) -> bool:
         return self.coordination.is_hub
 
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
@@ -311,7 +311,7 @@
         if notice.limit_per_s is not None:
             self.limits.take(upstream.id, notice.limit_per_s)
 
-    def _on_upstreams(self) -> None:
+    def _on_upstreams_changed(self) -> None:
         self.controller.notify()
 
     def _report_lag_s(self, service: str) -> float:
@@ -322,14 +322,14 @@
     def _node_count(self) -> int:
         return self.coordination.node_count
 
-    def _all_loads(self):
+    def _total_loads(self):
         return sum_loads(self.coordination.node_reports())
 
     def _on_lost(self, upstream_id: str) -> None:
         count = self.active.withdraw(upstream_id)
         self.log.event("upstream_lost", upstream=upstream_id, in_flight=count)
 
-    def _on_held(self, content: int) -> None:
+    def _on_content_held(self, content: int) -> None:
         count = self.active.withdraw_content(content)
         self.log.event("held_withdrawn", content=format_digest(content), in_flight=count)
 
@@ -347,12 +347,12 @@
         """Whether new connections should come to this node."""
         return not self.is_stopping and self.in_force.configuration is not None
 
-    async def _answer_ready(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path != self.ports.dialect.ready_path:
             return web.Response(status=404)
         return web.Response(status=200 if self.is_ready() else 503)
 
-    async def _answer_metrics(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_metrics(self, request: web.BaseRequest) -> web.Response:
         self.metrics.in_flight.set(self.relay.in_flight)
         self.metrics.set_groups(self.directory.group_states())
         self.metrics.holds_lease.set(self.lease.is_held())
@@ -378,17 +378,17 @@
         self.is_stopping = self.relay.is_stopping = True
         self.coordination.begin_stopping()
         self.log.event("node_stopping", in_flight=self.relay.in_flight)
-        give_up_at = started_at + self.bounds.stop_grace_s - STOP_TAIL_S
-        quiet_at = min(started_at + STOP_QUIET_S, give_up_at)
-        await asyncio.sleep(quiet_at - started_at)
+        abort_at = started_at + self.bounds.stop_grace_s - ABORT_MARGIN_S
+        drained_at = min(started_at + BALANCER_DRAIN_S, abort_at)
+        await asyncio.sleep(drained_at - started_at)
         # By now the balancer sends no new connections. A request that came later, over
         # a kept one, might not end in time, so connections are closed: at once where
         # they rest, else after the answer that is under way.
         for server, listener in self._servers:
             listener.close()
             self.relay.connections.close_all(server.connections)
-        while self.relay.in_flight and self.clock.now() < give_up_at:
-            await asyncio.sleep(STOP_POLL_S)
+        while self.relay.in_flight and self.clock.now() < abort_at:
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
         await self.abort()
         self.log.event("node_stopped", in_flight=self.relay.in_flight)
 
--- a/mulleinreach/gateway/process.py
+++ b/mulleinreach/gateway/process.py
@@ -46,12 +46,12 @@
     network = Network(identity.name)
     ports = make_ports(network)
     node = GatewayNode(identity, bounds, ports, network, Clock(), callers_socket=callers)
-    stopped = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     # Settings that a running node uses don't change; a new start reads the others.
     loop.add_signal_handler(signal.SIGHUP, lambda: node.log.event("settings_changed"))
     await node.start()
-    await stopped.wait()
+    await stop_requested.wait()
     await node.stop()
--- a/mulleinreach/gateway/tests/limited.py
+++ b/mulleinreach/gateway/tests/limited.py
@@ -45,18 +45,20 @@
     return sum(since <= at < until for at in arrivals) / (until - since)
 
 
-async def request_all_nodes(world: GatewayWorld, seconds: float, per_s: float, ask) -> list[object]:
+async def request_all_nodes(
+    world: GatewayWorld, seconds: float, per_s: float, send
+) -> list[object]:
     """Ask all nodes in turn, so many times a second together, whatever became of earlier asks.
 
     Parameters
     ==========
 
-    ask : called with a node's name.
+    send : called with a node's name.
     """
-    asking = []
+    pending = []
     names = itertools.cycle(sorted(world.nodes))
     for _ in range(round(seconds * per_s)):
         name = next(name for name in names if name in world.nodes)
-        asking.append(asyncio.ensure_future(ask(name)))
+        pending.append(asyncio.ensure_future(send(name)))
         await asyncio.sleep(1 / per_s)
-    return list(await asyncio.gather(*asking, return_exceptions=True))
+    return list(await asyncio.gather(*pending, return_exceptions=True))
--- a/mulleinreach/gateway/tests/noticed.py
+++ b/mulleinreach/gateway/tests/noticed.py
@@ -59,10 +59,10 @@
     return sum(asked_at + IN_FLIGHT_GRACE_S < at < asked_at + rest_s for at in arrivals)
 
 
-async def request_repeatedly(seconds: float, ask: Callable[[], object]) -> list[object]:
+async def request_repeatedly(seconds: float, send: Callable[[], object]) -> list[object]:
     """Ask ten times a second, whether or not the earlier ones were answered."""
-    asking = []
+    pending = []
     for _ in range(round(seconds * 10)):
-        asking.append(asyncio.ensure_future(ask()))
+        pending.append(asyncio.ensure_future(send()))
         await asyncio.sleep(0.1)
-    return list(await asyncio.gather(*asking))
+    return list(await asyncio.gather(*pending))
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -18,13 +18,13 @@
 def test_planned_stop_finishes_what_runs():
     async def test(world):
         await world.until_formed()
-        asking = asyncio.create_task(world.stream(60, node="node-0"))
+        request = asyncio.create_task(world.stream(60, node="node-0"))
         await asyncio.sleep(0.3)
         node = world.nodes["node-0"]
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(0.1)
         assert not node.is_ready()
-        answer = await asking
+        answer = await request
         assert len(answer.event_ids) == 60
         await stopping
 
@@ -38,11 +38,11 @@
 
 
 @pytest.mark.parametrize("after_s", [0.0, 3.0, 3.19, 3.22, 3.3])
-def test_planned_stop_cuts_no_request_that_it_has_taken(after_s):
+def test_planned_stop_aborts_no_accepted_request(after_s):
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
-        node._tasks.spawn(_end_slowly())
+        node._tasks.spawn(_finish_slowly())
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(after_s)
         try:
@@ -56,7 +56,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_planned_stop_takes_nothing_new_although_callers_go_on():
+def test_planned_stop_accepts_no_new_requests_under_continuous_load():
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         stopping = asyncio.create_task(world.nodes["node-0"].stop())
@@ -74,19 +74,19 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_planned_stop_closes_connections_at_rest():
+def test_planned_stop_closes_idle_connections():
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
         reader, writer = await node.network.connect(node.identity.callers_address)
-        running = asyncio.create_task(world.call("/order/1", b"2 tins"))
+        first = asyncio.create_task(world.call("/order/1", b"2 tins"))
         stopping = asyncio.create_task(node.stop())
-        await running
-        later = asyncio.create_task(_call_after(world, 2.5))
+        await first
+        second = asyncio.create_task(_call_after(world, 2.5))
         await asyncio.sleep(2.2)
         assert await reader.read() == b""
         writer.close()
-        assert (await later).status == 200
+        assert (await second).status == 200
         await stopping
 
     run_world(test, **NO_HOSTS)
@@ -97,7 +97,7 @@
     return await world.call("/order/1", b"2 tins")
 
 
-async def _end_slowly():
+async def _finish_slowly():
     """Take a while to end, as tasks do on a busy node."""
     try:
         await asyncio.sleep(3600)
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -17,12 +17,12 @@
 PLAIN = {"domains": 0, "hosts_per_domain": 0, "nodes": 3}
 
 
-def follower_of(world) -> str:
+def find_follower(world) -> str:
     """Return a node that doesn't coordinate."""
     return next(name for name in world.nodes if name != world.coordinator())
 
 
-def test_coordinator_wakes_without_its_lease_and_gives_no_order():
+def test_resumed_coordinator_holds_no_lease_and_sends_no_orders():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -31,12 +31,12 @@
         token = holder.lease.token
         world.suspend(name, SUSPENDED_S)
         assert not holder.lease.is_held()
-        told = len(world.fabric.orders_by_token[token])
+        order_count = len(world.fabric.orders_by_token[token])
         # Its hosts lose a member now; the order to repair waits for the lease.
         host = next(h for h in world.fabric.hosts.values() if h.standing is not None)
         world.crashes.begin(host.id, back_after_s=0.05, keeps_name=True)
         while not holder.lease.is_held() and holder.lease.token == token:
-            assert len(world.fabric.orders_by_token[token]) == told
+            assert len(world.fabric.orders_by_token[token]) == order_count
             await asyncio.sleep(0.01)
         await world.until(lambda: world.coordinator() is not None)
         await world.until_formed()
@@ -45,12 +45,12 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.002, 0.004, 0.3])
-def test_coordinator_suspended_around_a_renewal_counts_from_before_it(delay_s):
+def test_lease_expiry_counts_from_the_start_of_the_renewal(delay_s):
     async def test(world):
         await world.until_formed()
         holder = world.nodes[world.coordinator()]
-        renewed = holder.lease.record.renewal
-        await world.until(lambda: holder.lease.record.renewal > renewed)
+        renewal = holder.lease.record.renewal
+        await world.until(lambda: holder.lease.record.renewal > renewal)
         await asyncio.sleep(0.7 - 0.002 + delay_s)
         world.suspend(world.coordinator(), SUSPENDED_S)
         assert not holder.lease.is_held()
@@ -61,11 +61,11 @@
     run_world(test, nodes=3, domains=1)
 
 
-def test_key_taken_away_in_suspension_does_not_work_at_the_wake():
+def test_key_revoked_during_suspension_is_rejected_after_resume():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
-        name = follower_of(world)
+        name = find_follower(world)
         assert (await world.call("/order/1", node=name)).status == 200
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset({"other"})))
         world.suspend(name, SUSPENDED_S)
@@ -79,11 +79,11 @@
     run_world(test, **PLAIN)
 
 
-def test_woken_node_serves_again_once_it_has_heard():
+def test_resumed_node_serves_again_after_a_coordinator_report():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
-        name = follower_of(world)
+        name = find_follower(world)
         world.suspend(name, SUSPENDED_S)
         assert (await world.call("/order/1", node=name)).status == 503
         await asyncio.sleep(1)
@@ -92,37 +92,39 @@
     run_world(test, **PLAIN)
 
 
-def test_request_whose_deadline_passed_in_suspension_is_sent_nowhere():
+def test_request_that_expires_during_suspension_is_not_sent():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
-        name = follower_of(world)
+        name = find_follower(world)
         node = world.nodes[name]
         gate = asyncio.Event()
         node.relay._start_gate = gate
-        asking = asyncio.create_task(world.call("/order/1", node=name, deadline_s=2.0))
+        request = asyncio.create_task(world.call("/order/1", node=name, deadline_s=2.0))
         await asyncio.sleep(0.1)
         world.suspend(name, SUSPENDED_S)
         gate.set()
-        answer = await asking
+        answer = await request
         assert answer.status == 503
         assert all(not plain.seen for plain in world.plain.values())
 
     run_world(test, **PLAIN)
 
 
-def test_wake_is_told_once_with_what_it_made_old():
+def test_resume_is_logged_once_with_its_effects():
     async def test(world):
-        kept = record_events(world.nodes["node-0"])
-        slept = [3.0]
-        watch = WakeWatch(lambda: slept[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log)
+        events = record_events(world.nodes["node-0"])
+        suspended_s = [3.0]
+        watch = WakeWatch(
+            lambda: suspended_s[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log
+        )
         watch.look()
-        slept[0] += TOLD_FROM_S / 2
+        suspended_s[0] += TOLD_FROM_S / 2
         watch.look()
-        slept[0] += 5
+        suspended_s[0] += 5
         watch.look()
         watch.look()
-        [told] = event_fields(kept, "node_woke")
-        assert told == {"suspended_s": pytest.approx(5), "in_flight": 2}
+        [fields] = event_fields(events, "node_woke")
+        assert fields == {"suspended_s": pytest.approx(5), "in_flight": 2}
 
     run_world(test, **PLAIN)
