--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -183,7 +183,7 @@
 
     async def _coordinate_after(self, replaced: LeaseRecord | None) -> None:
         """Coordinate, and tell the holder of an earlier record, if that was another node."""
-        if replaced is None or replaced.address == str(self._identity.peers):
+        if replaced is None or replaced.address == str(self._identity.peers_address):
             await self._coordinate()
             return
         own = self._lease.as_successor()
