--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -33,7 +33,7 @@
 from mulleinreach.gateway.request.urgency import FirstWaits
 
 # Older evidence would be too old at the nodes (1.5 s) before the next renewal.
-MAX_UNCONFIRMED_AGE_S = 0.7
+MAX_UNCONFIRMED_S = 0.7
 
 
 class SharedState:
@@ -170,7 +170,7 @@
     async def read_unconfirmed_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
         self._follower.confirm(self._loads.now())
-        if self._in_force.evidence_age_s() > MAX_UNCONFIRMED_AGE_S:
+        if self._in_force.evidence_age_s() > MAX_UNCONFIRMED_S:
             await self._in_force.read_anew()
 
     def note_store_failed(self) -> None:
