--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -164,7 +164,7 @@
         "CONFIG",
         "keys outlive only an outage for all: nobody has left the coordinator",
         f"{GATEWAY}/coordination/hub.py",
-        "if self._resignation is None or self._has_deserters or not self._members:",
+        "if self._resignation is None or self._has_lost_members or not self._members:",
         "if self._resignation is None or not self._members:",
         f"{GATEWAY}/request/tests/test_keys_in_outages.py",
     ),
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -48,7 +48,7 @@
         asks = step_s * demand.per_s / len(askers)
         for number in askers:
             for _ in range(int(asks) + (rng.random() < asks % 1)):
-                desk.ask_and_wait(number)
+                desk.send_or_wait(number)
         desk.allocate(set(range(nodes)))
         desk.clock.at += step_s
     used = requests_per_s(desk.sent_at, began_at + WARM_UP_S, began_at + SECONDS) / limit
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -28,15 +28,15 @@
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, NodeReport
-from mulleinreach.gateway.coordination.totals import TotalsShortener, sum_loads
+from mulleinreach.gateway.coordination.totals import TotalsCompactor, sum_loads
 from mulleinreach.gateway.known.permits import PermitCount
 
 REPORT_INTERVAL_S = 0.1
 # With many nodes the reports would take too much of a slow coordinator's time.
-LARGE_INTERVAL_S = 0.2
-LARGE_NODES = 32
+LARGE_CLUSTER_INTERVAL_S = 0.2
+SMALL_CLUSTER_MAX_NODES = 32
 # A connection on which no report came for so long is given up.
-SILENCE_S = 1.0
+REPORT_TIMEOUT_S = 1.0
 MAX_BUFFERED_BYTES = 262_144
 # A node that can read the store has by then noticed that its evidence is old (1.5 s),
 # has read and asked for the lease (0.3 s), and has left a coordinator that resigned.
@@ -48,7 +48,7 @@
 
 def report_interval_s(node_count: int) -> float:
     """Return the time between two reports, which all nodes keep."""
-    return REPORT_INTERVAL_S if node_count <= LARGE_NODES else LARGE_INTERVAL_S
+    return REPORT_INTERVAL_S if node_count <= SMALL_CLUSTER_MAX_NODES else LARGE_CLUSTER_INTERVAL_S
 
 
 @dataclass(frozen=True)
@@ -68,7 +68,7 @@
 @dataclass(frozen=True)
 class _ReceivedReport:
     report: NodeReport
-    at: float
+    received_at: float
 
 
 @dataclass(eq=False)
@@ -111,14 +111,14 @@
         self._members: dict[object, _Member] = {}
         self._received: dict[str, _ReceivedReport] = {}
         self._server: asyncio.AbstractServer | None = None
-        self._shortener = TotalsShortener()
+        self._compactor = TotalsCompactor()
         self._latest_totals: bytes | None = None
         self._numbering = NodeNumbers(clock.now())
         self._allocator = PermitAllocator(clock.now())
         self._encoded_list: tuple[int, bytes] = (0, b"")
         self._resignation: Resignation | None = None
         self._resigned_at = 0.0
-        self._has_deserters = False
+        self._has_lost_members = False
         # Who has replaced this coordinator, as the new one told here.
         self.successor: Successor | None = None
         self.is_open = False
@@ -133,7 +133,7 @@
     def resignation(self, resignation: Resignation | None) -> None:
         if self._resignation is None:
             self._resigned_at = self._clock.now()
-            self._has_deserters = False
+            self._has_lost_members = False
         self._resignation = resignation
 
     def is_store_unavailable(self) -> bool:
@@ -142,7 +142,7 @@
         A node that can read it replaces a coordinator that has resigned, and leaves.
         A coordinator that nobody reports to can't tell an outage from a cut.
         """
-        if self._resignation is None or self._has_deserters or not self._members:
+        if self._resignation is None or self._has_lost_members or not self._members:
             return False
         return self._clock.now() - self._resigned_at > REPLACEMENT_DEADLINE_S
 
@@ -176,7 +176,7 @@
                 successor=self.successor,
                 numbers=self._numbers(),
             )
-            encoded = self._latest_totals = encode_totals(self._shortener.shorten(totals))
+            encoded = self._latest_totals = encode_totals(self._compactor.compact(totals))
             permits = self._allocate_permits(reports[0])
             for member in list(self._members.values()):
                 if member.report is not None:
@@ -196,7 +196,7 @@
         return self._numbering.count if self.is_store_unavailable() else 0
 
     def _allocate_permits(self, own_report: NodeReport) -> dict[_Member | None, list[PermitCount]]:
-        """Return the permits that each member gets now; this node's own stand at ``None``."""
+        """Return the permits that each member gets now; this node's own stand received_at ``None``."""
         if not (self._lease.is_held() or self.is_store_unavailable()):
             return {}
         wanted: dict[_Member | None, tuple[PermitCount, ...]] = {None: own_report.wanted}
@@ -225,7 +225,7 @@
             totals,
             changes or [],
             is_unknown,
-            self._lacking(member),
+            self._missing_configuration(member),
             whole_list,
             self._numbering.number_of(member),
             permits,
@@ -249,7 +249,7 @@
         member.has_list, member.sent_revision = True, whole.revision
         return self._encoded_list[1]
 
-    def _lacking(self, member: _Member) -> bytes:
+    def _missing_configuration(self, member: _Member) -> bytes:
         """Return the configuration if a member lacks it; each is sent to it once."""
         version = self._knowledge.configuration_version()
         if max(member.report.configuration_version, member.sent_configuration) >= version:
@@ -267,9 +267,12 @@
         """Return the nodes that were heard lately, connected or not, our own first."""
         now = self._clock.now()
         self._received = {
-            n: h for n, h in self._received.items() if now - h.at <= RECENT_NODE_TTL_S
+            n: h for n, h in self._received.items() if now - h.received_at <= RECENT_NODE_TTL_S
         }
-        others = [RecentNode(heard.report, now - heard.at) for heard in self._received.values()]
+        others = [
+            RecentNode(received.report, now - received.received_at)
+            for received in self._received.values()
+        ]
         return [RecentNode(self._own_report(), 0.0), *others]
 
     def _record_report(self, report: NodeReport) -> None:
@@ -279,7 +282,7 @@
         else:
             self._received[report.node] = _ReceivedReport(report, self._clock.now())
 
-    def _take_successor(self, successor: Successor) -> None:
+    def _accept_successor(self, successor: Successor) -> None:
         """Take the word of a new coordinator, which has read this one's secret in the row."""
         if successor.token > self._lease.token:
             self.successor = successor
@@ -292,12 +295,12 @@
         self._members[key] = member
         try:
             while self.is_open:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(REPORT_TIMEOUT_S):
                     report = decode_node_report(await frames.read())
                 if not hmac.compare_digest(report.secret, self._lease.secret):
                     raise PeerError("a report without the secret of the lease")
                 if report.successor is not None:
-                    self._take_successor(report.successor)
+                    self._accept_successor(report.successor)
                     return
                 is_first = member.report is None
                 member.report = report
@@ -313,5 +316,5 @@
             self._members.pop(key, None)
             is_expected = member.report is None or member.report.is_stopping
             if self._resignation is not None and not is_expected:
-                self._has_deserters = True
+                self._has_lost_members = True
             writer.close()
--- a/mulleinreach/gateway/coordination/numbering.py
+++ b/mulleinreach/gateway/coordination/numbering.py
@@ -45,10 +45,10 @@
         if is_same or now - self._changed_at < RENUMBERING_INTERVAL_S:
             return
         kept = {member: n for member, n in self._numbers.items() if member in members}
-        taken = set(kept.values())
-        free = (number for number in itertools.count(1) if number not in taken)
-        newcomers = (member for member in members if member not in kept)
-        self._numbers = kept | dict(zip(newcomers, free, strict=False))
+        used = set(kept.values())
+        free_numbers = (number for number in itertools.count(1) if number not in used)
+        new_members = (member for member in members if member not in kept)
+        self._numbers = kept | dict(zip(new_members, free_numbers, strict=False))
         self.count = 1 + max(self._numbers.values(), default=0)
         self._changed_at = now
 
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -26,7 +26,7 @@
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 
 # Seconds until the next renewal after one whose outcome isn't known.
-RENEW_AGAIN_S = 0.15
+UNKNOWN_OUTCOME_RETRY_S = 0.15
 # Seconds until the next renewal after one that was done.
 RENEW_PAUSES_S = {
     RenewalOutcome.RENEWED: RENEW_INTERVAL_S,
@@ -35,10 +35,10 @@
     RenewalOutcome.RENEWED_BY_EARLIER_WRITE: 0.3,
 }
 # Without the lease there is no hurry but to find out that the store is back.
-TAKE_UP_AGAIN_S = 0.5
+REACQUIRE_INTERVAL_S = 0.5
 # For so long a replaced coordinator tells its nodes who has replaced it: two reports at
 # least reach a node that is connected.
-SUCCESSOR_TOLD_S = 0.5
+SUCCESSOR_NOTICE_S = 0.5
 
 
 class CoordinatorTerm:
@@ -69,29 +69,29 @@
         self._coordinate = coordinate
         self._clock = clock
         self._log = log
-        self._gave_way = False
+        self._stepped_down = False
 
     async def serve(self) -> bool:
         """Coordinate until somebody else holds the lease, or this node stops.
 
         Returns whether it gave way to a successor, which this node can follow at once.
         """
-        self._gave_way = False
+        self._stepped_down = False
         self._hub.resignation = None
         self._hub.successor = None
         self._hub.is_open = True
         reporting = asyncio.create_task(self._hub.report_to_members())
         try:
             while await self._coordinate_while_held(reporting):
-                if not await self._take_up_again(reporting):
+                if not await self._reacquire(reporting):
                     break
         finally:
             await self._end(reporting)
-        return self._gave_way
+        return self._stepped_down
 
     async def _end(self, reporting: asyncio.Task) -> None:
         self._hub.is_open = False
-        self._lease.give_up()
+        self._lease.relinquish()
         self._log.event("lease_ended", token=self._lease.token)
         reporting.cancel()
         await asyncio.gather(reporting, return_exceptions=True)
@@ -125,7 +125,7 @@
                     return False
                 if not self._lease.is_held():
                     return True
-                pause_s = RENEW_PAUSES_S.get(renewal, RENEW_AGAIN_S)
+                pause_s = RENEW_PAUSES_S.get(renewal, UNKNOWN_OUTCOME_RETRY_S)
             # A node that stops hands the lease over, unless nobody can take it.
             return renewal is RenewalOutcome.UNKNOWN
         finally:
@@ -148,17 +148,17 @@
             self._knowledge.note_store_failed()
         return renewal
 
-    async def _take_up_again(self, reporting: asyncio.Task) -> bool:
+    async def _reacquire(self, reporting: asyncio.Task) -> bool:
         """Resign, and wait until the lease is held again; returns whether it is.
 
         A node that stops stays the place where the others meet: while nobody can write
         the row, no other one can take its place.
         """
-        self._lease.give_up()
+        self._lease.relinquish()
         self._log.event("lease_lapsed", token=self._lease.token)
         while not reporting.done():
             if self._hub.successor is not None:
-                await self._give_way(self._hub.successor)
+                await self._step_down(self._hub.successor)
                 return False
             self._hub.resignation = Resignation(self._lease.token, self._lease.record.renewal)
             renewal = await self._renew()
@@ -168,12 +168,12 @@
                 self._hub.resignation = None
                 self._log.event("lease_taken_up_again", token=self._lease.token)
                 return True
-            await asyncio.sleep(TAKE_UP_AGAIN_S)
+            await asyncio.sleep(REACQUIRE_INTERVAL_S)
         return False
 
-    async def _give_way(self, successor: Successor) -> None:
+    async def _step_down(self, successor: Successor) -> None:
         """Tell the nodes that meet here whom to follow, then follow it too."""
         self._log.event("coordinator_replaced", token=successor.token, by=successor.address)
-        await asyncio.sleep(SUCCESSOR_TOLD_S)
+        await asyncio.sleep(SUCCESSOR_NOTICE_S)
         self._lease.adopt(successor)
-        self._gave_way = True
+        self._stepped_down = True
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -342,7 +342,7 @@
         await world.until_formed()
         holder = world.nodes[world.coordinator()]
         other = next(node for node in world.nodes.values() if node is not holder)
-        await other.lease.look()
+        await other.lease.read_state()
         other.coordination._election_delay_s = lambda: 1.0
         standing = asyncio.create_task(other.coordination._stand_for_election())
         await asyncio.sleep(1.5)
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -19,26 +19,26 @@
 from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.knowledge import SharedState
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.known.content import format_digest
 from mulleinreach.gateway.known.counted import CountedEventLog, CountedLease, CountedSource
-from mulleinreach.gateway.known.crashes import CrashBook
+from mulleinreach.gateway.known.crashes import CrashTracker
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import LimitBook
 from mulleinreach.gateway.known.load import LoadBook
-from mulleinreach.gateway.known.notices import NoticeBook
+from mulleinreach.gateway.known.notices import NoticeTracker
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.routing import Router
 from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
-from mulleinreach.gateway.known.turns import reading_turn
+from mulleinreach.gateway.known.turns import direct_read_schedule
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
-from mulleinreach.gateway.known.waking import WakeWatch
+from mulleinreach.gateway.known.waking import SuspensionMonitor
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RequestLimits
@@ -109,10 +109,12 @@
         self.active = ActiveExchanges()
         self.limits = LimitBook(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
-        self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams_changed)
+        self.notices = NoticeTracker(
+            self.directory, self.clock, self.log, self._on_upstreams_changed
+        )
         self.ports.orders.subscribe(self._on_notice)
-        self.crashes = CrashBook(self.clock, self.log, self.rng, self._on_content_held)
-        turn = reading_turn(
+        self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_content_held)
+        turn = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
         # The answer to the first question tells whether the second is worth asking.
@@ -205,7 +207,7 @@
             self.log,
             self.identity.is_first_start,
         )
-        self.hosts = HostBook(self.directory, self.clock)
+        self.hosts = HostRegistry(self.directory, self.clock)
         self.operator = GroupOperator(
             self.ports.orders,
             self.lease,
@@ -271,7 +273,7 @@
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
         self._tasks.spawn(self.store_calls.tell())
-        self._tasks.spawn(WakeWatch(suspended_s, self._describe_wake, self.log).run())
+        self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
         self.log.event(
             "node_started", callers=self.identity.callers_address, hall=self.identity.hall
         )
@@ -300,7 +302,7 @@
         elif self.coordination.is_following:
             role = StoreRole.FOLLOWER
         else:
-            role = StoreRole.ALONE
+            role = StoreRole.NO_COORDINATOR
         return pause_s(role, self._node_count(), failures)
 
     def _reads_store_for_all(self) -> bool:
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.known.waking import TOLD_FROM_S, WakeWatch
+from mulleinreach.gateway.known.waking import MIN_LOGGED_SUSPENSION_S, SuspensionMonitor
 from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
@@ -115,11 +115,11 @@
     async def test(world):
         events = record_events(world.nodes["node-0"])
         suspended_s = [3.0]
-        watch = WakeWatch(
+        watch = SuspensionMonitor(
             lambda: suspended_s[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log
         )
         watch.look()
-        suspended_s[0] += TOLD_FROM_S / 2
+        suspended_s[0] += MIN_LOGGED_SUSPENSION_S / 2
         watch.look()
         suspended_s[0] += 5
         watch.look()
