--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -227,7 +227,7 @@
             self._total_loads,
             lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
-            self.follower.read_anew,
+            self.follower.read_now,
             self.clock,
             self.log,
         )
