--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -309,7 +309,7 @@
         return self.coordination.is_hub
 
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
-        self.notices.take(upstream, notice)
+        self.notices.record(upstream, notice)
         if notice.limit_per_s is not None:
             self.limits.take(upstream.id, notice.limit_per_s)
 
