--- a/mulleinreach/gateway/__init__.py
+++ b/mulleinreach/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Relays requests to upstreams whose bodies aren't ours to read, and forms their groups."""
+"""Relays requests to upstreams without reading the bodies, and manages groups of hosts."""
--- a/mulleinreach/gateway/deployment.py
+++ b/mulleinreach/gateway/deployment.py
@@ -1,4 +1,4 @@
-"""What a node is told of its deployment: the operators' bounds, and who it is."""
+"""The settings of a deployment and of one of its nodes."""
 
 from __future__ import annotations
 
@@ -10,24 +10,28 @@
 
 @dataclass(frozen=True)
 class DeploymentBounds:
-    """Times and shares that the operators of a deployment have agreed on.
+    """Time limits, quotas and the fault tolerance that a deployment must keep to.
 
     Parameters
     ==========
 
-    max_key_evidence_age_s : the greatest age of evidence on which a key is accepted.
-    trusts_keys_in_outages : whether keys are accepted for as long as no node can read
-        the store. Elsewhere a key that was taken away must stop working in any case.
-    leaving_propagation_s, config_propagation_s : how soon nodes must have heard that an
-        upstream leaves, and of a new configuration.
-    stop_grace_s : the time between the order to stop and the kill.
-    group_stall_s : how long a head with a missing member stands still before it breaks.
-    retry_ratio, retry_slack, retry_window_s : the budget of second sends of a service.
-    evacuation_s : how soon after an operator's request a hall's upstreams get nothing more.
-    cold_ratio, cold_slack : the requests a second that a cold upstream may get from all
-        nodes together: the ratio times what its service tells, and the slack.
-    max_lost_halls : how many halls may be lost at once with all promises kept.
-    heartbeat_s : how often upstreams write their rows.
+    max_key_evidence_age_s : the maximum age of the proof that the configuration is current
+        with which API keys are accepted.
+    trusts_keys_in_outages : whether keys are accepted while no node can read the store;
+        otherwise a revoked key must stop working in an outage, too.
+    leaving_propagation_s, config_propagation_s : the maximum time until all nodes know
+        that an upstream is leaving, and a new configuration.
+    stop_grace_s : the time between SIGTERM and SIGKILL.
+    group_stall_s : how long a head hangs after the loss of a member until it reports a
+        broken group.
+    retry_ratio, retry_slack, retry_window_s : the retry quota of a service: in each window,
+        the ratio times its requests, plus the slack.
+    evacuation_s : the maximum time from an operator's evacuation request until the hall's
+        upstreams get no more requests.
+    cold_ratio, cold_slack : the limit on requests per second to a cold upstream from all
+        nodes together: the ratio times ``cold_per_s`` of its service, plus the slack.
+    max_lost_halls : the number of halls whose simultaneous loss must be tolerated.
+    heartbeat_s : the interval at which upstreams write their rows.
     """
 
     max_key_evidence_age_s: float = 4.5
@@ -48,14 +52,17 @@
 
 @dataclass(frozen=True)
 class GatewayIdentity:
-    """Who a node is and where it listens.
+    """The name, location, addresses and resources of a node.
 
     Parameters
     ==========
 
-    processor_cores : how much processor time the node may use.
-    link_mbps : how many megabits a second its link carries.
-    is_first_start : whether the whole system starts for the first time, before any request.
+    callers_address, readiness_address, peers_address, metrics_address : where the node
+        accepts requests of callers, readiness probes, reports of other nodes, and requests
+        for its metrics; ``None`` for no metrics.
+    processor_cores : the processor time that the node may use, in cores.
+    link_mbps : the bandwidth of its network link, in megabits per second.
+    is_first_start : whether the whole system starts for the first time, without a lease.
     regions : the region of each hall of the deployment, by the hall's name.
     """
 
--- a/mulleinreach/gateway/explain.py
+++ b/mulleinreach/gateway/explain.py
@@ -1,4 +1,4 @@
-"""Tells from log lines what became of a request, and what the coordinator did meanwhile."""
+"""Extracts the trace of a request, and of the upstreams that it used, from log lines."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line and its fields."""
+    """A log line and its parsed fields."""
 
     text: str
     fields: dict[str, str]
 
     @property
     def event(self) -> str:
-        """The name of the event."""
+        """The name of the logged event."""
         return self.fields["event"]
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line's fields, or ``None`` if it is no event.
+    """Parse a log line; return ``None`` if it isn't a valid event.
 
     Examples
     ========
@@ -47,12 +47,12 @@
 
 
 def explain_request(lines: Iterable[str], request_id: str) -> list[str]:
-    """Return the lines about a request, and those about its upstreams during it.
+    """Return the log lines of a request and those about its upstreams in the same period.
 
     Parameters
     ==========
 
-    lines : the logs of all nodes, in the order of time.
+    lines : the merged log lines of all nodes, sorted by time.
     """
     parsed = [line for line in map(parse_line, lines) if line is not None]
     own = [n for n, line in enumerate(parsed) if line.fields.get("id") == request_id]
@@ -69,5 +69,5 @@
 
 
 def _mentions_any(line: LogLine, upstreams: set[str]) -> bool:
-    """Whether a line names one of the upstreams in any of its fields."""
+    """Whether any field of a line contains the id of one of the upstreams."""
     return any(upstream in value for value in line.fields.values() for upstream in upstreams)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -1,11 +1,12 @@
-"""What the coordinator passes on to all nodes, and what a node makes of it.
+"""The state that the coordinator distributes to all nodes, and its use on each of them.
 
 Explanation
 ===========
 
-The coordinator reads the store for all. What it passes on keeps its age: a node
-dates it from before it sent the report that is answered, so that a delay on the
-way only makes it older. A node whose evidence grows too old reads the store itself.
+The coordinator reads the store for all nodes and distributes what it read together with its
+age. A node counts that age from when it sent the report that the coordinator answers, so
+network delays can only make data look older. A node whose data gets too old reads the store
+itself.
 """
 
 from __future__ import annotations
@@ -32,19 +33,19 @@
 from mulleinreach.gateway.ports import OperatorRows
 from mulleinreach.gateway.request.urgency import FirstWaits
 
-# Older evidence would be too old at the nodes (1.5 s) before the next renewal.
+# Keeps the evidence at other nodes below their limit of 1.5 s until the next renewal.
 MAX_UNCONFIRMED_S = 0.7
 
 
 class SharedState:
-    """One node's side of the exchange.
+    """The state of one node that it exchanges with the coordinator.
 
     Parameters
     ==========
 
-    follower : the list of upstreams, as this node reads it or is told it.
-    controller : tells a coordinator's view of groups and hosts.
-    on_lost : called with the id of each upstream that the coordinator newly found lost.
+    follower : keeps the list of upstreams up to date, from the store or the coordinator.
+    controller : describes the groups and hosts if this node is the coordinator.
+    on_lost : called with the id of each upstream that the coordinator newly reports lost.
     """
 
     def __init__(
@@ -76,10 +77,10 @@
         self._on_lost = on_lost
         self._heads: list[OpenHead] = []
 
-    # What is passed on.
+    # State sent to other nodes.
 
     def totals(self, token: int, nodes: int, loads: list[LoadReport]) -> Totals:
-        """Return what all nodes should know."""
+        """Return the totals that the coordinator sends to all nodes."""
         view = self._controller.describe()
         return Totals(
             token,
@@ -100,99 +101,111 @@
         )
 
     def changes_since(self, revision: int) -> list[ListChange] | None:
-        """Return the changes of the list after a revision."""
+        """Return the changes of the list after a revision, ``None`` if they aren't kept."""
         return self._directory.changes_since(revision)
 
     def whole_list(self) -> ListChange | None:
-        """Return all upstreams of this node's list, ``None`` before the first one."""
+        """Return this node's full list of upstreams, ``None`` before the first read."""
         return self._directory.whole()
 
     def list_revision(self) -> int:
-        """Return the revision of this node's list; 0 before the first one."""
+        """Return the revision of this node's list; 0 before the first read."""
         return self._directory.revision or 0
 
     def configuration_version(self) -> int:
-        """Return the version in force at this node; 0 before the first one."""
+        """Return the version of this node's configuration; 0 before the first read."""
         return self._in_force.version
 
     def configuration_document(self) -> bytes:
-        """Return the configuration in force, in a form that other nodes can decode."""
+        """Return this node's configuration, encoded for transfer to other nodes."""
         return self._in_force.document
 
     def evidence_age_s(self) -> float:
-        """Return the age of the latest proof that the configuration is the newest."""
+        """Return the age of the latest proof that the configuration is current, in seconds."""
         return self._in_force.evidence_age_s()
 
     def inheritance(self) -> HandoverState:
-        """Return what nodes that start should know."""
+        """Return the state for later coordinators and starting nodes."""
         return HandoverState(self._first_waits.known(), self._crashes.held())
 
     def sightings(self, includes_old: bool) -> list[RunObservation]:
-        """Return what this node saw of upstreams that ended under requests, lately or ever."""
+        """Return this node's observations of requests during which upstreams ended.
+
+        Parameters
+        ==========
+
+        includes_old : whether to include all kept observations, not only recent ones.
+        """
         return self._crashes.own_observations(includes_old)
 
     def merge_sightings(self, sightings: list[RunObservation]) -> None:
-        """Take what another node saw of upstreams that ended under requests."""
+        """Merge another node's observations of requests during which upstreams ended."""
         self._crashes.take(sightings)
 
     def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
-        """Return the limits of upstreams that the coordinator should know and hasn't told."""
+        """Return the upstream limits that the coordinator doesn't know yet.
+
+        Parameters
+        ==========
+
+        includes_told : whether to include limits that were already reported.
+        """
         return self._permits.limits.untold(includes_told)
 
     def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
-        """Take what another node knows of the limits of upstreams."""
+        """Merge the upstream limits that another node reports."""
         self._permits.limits.take_reported(named)
 
     def limits(self) -> dict[str, float]:
-        """Return the limits of upstreams that are in force, in requests a second."""
+        """Return the current limits of upstreams by id, in requests per second."""
         return self._permits.limits.limits()
 
     def wanted_permits(self) -> tuple[PermitCount, ...]:
-        """Return the permits that this node has use for."""
+        """Return the number of send permits that this node needs for each upstream."""
         return self._permits.wanted()
 
-    # What a renewal of the lease shows.
+    # Proofs from renewals of the lease.
 
     def operator_rows(self) -> OperatorRows | None:
-        """Return the operators' rows in the store, if this node has read them."""
+        """Return the versions of the operators' rows, ``None`` if this node hasn't read them."""
         return self._in_force.operator_rows()
 
     def confirm(self, rows: OperatorRows | None, asked_at: float) -> None:
-        """Take in that a write under the versions of these rows was done after ``asked_at``."""
+        """Record that these versions were still current in a write begun at ``asked_at``."""
         self._in_force.confirm(rows, asked_at)
         self._follower.confirm(asked_at)
 
     async def read_changed_rows(self, rows: OperatorRows | None) -> None:
-        """Read the operators' rows, which have other versions, unless a wait has told it."""
+        """Read the operators' rows again, unless they were already read since ``rows``."""
         if self._in_force.operator_rows() == rows:
             await self._in_force.read_now()
 
     async def read_unconfirmed_rows(self) -> None:
-        """Read the operators' rows if renewals have not proved them for too long."""
+        """Read the operators' rows if no renewal has recently confirmed them."""
         self._follower.confirm(self._loads.now())
         if self._in_force.evidence_age_s() > MAX_UNCONFIRMED_S:
             await self._in_force.read_now()
 
     def note_store_failed(self) -> None:
-        """Note that the store has just failed to answer."""
+        """Record a failed call to the store."""
         self._follower.note_store_failed()
 
-    # What is taken.
+    # State received from other nodes.
 
     def apply_inheritance(self, inheritance: HandoverState) -> None:
-        """Take what an earlier coordinator knew of callers."""
+        """Apply the state that an earlier coordinator handed over."""
         self._first_waits.take_told(inheritance.first_waits)
         self._crashes.merge_held(inheritance.held)
 
     def take(self, report: CoordinatorReport, asked_at: float, own_loads: list[LoadReport]) -> None:
-        """Take a coordinator's report.
+        """Apply a coordinator's report.
 
         Parameters
         ==========
 
-        asked_at : when this node sent the report that is answered; what is told is dated from
-            then, less its age at the coordinator.
-        own_loads : what that report told of this node's own requests.
+        asked_at : when this node sent the report that the coordinator answers; the data is as
+            old as that plus its age at the coordinator.
+        own_loads : this node's own loads in that report.
         """
         totals = report.totals
         self._loads.take_totals(totals.loads, own_loads)
--- a/mulleinreach/gateway/listening.py
+++ b/mulleinreach/gateway/listening.py
@@ -1,4 +1,4 @@
-"""Listens for HTTP connections of callers and of the platform."""
+"""Creates the HTTP servers of a node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 BACKLOG = 512
 IDLE_TIMEOUT_S = 20.0
-# Fields up to the limit of the configuration have to be read to be answered.
+# At least the limit of the configuration, so that larger headers get a proper error answer.
 MAX_LINE_BYTES = 65_536
 
 Handler = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
@@ -24,13 +24,13 @@
     idle_timeout_s: float,
     listening_socket: socket.socket | None,
 ) -> tuple[web.Server, asyncio.AbstractServer]:
-    """Have a handler answer the requests that come to an address.
+    """Start an HTTP server on an address.
 
     Parameters
     ==========
 
-    idle_timeout_s : how long a connection may rest between two requests.
-    listening_socket : a socket that listens there already; ``None`` if nothing does.
+    idle_timeout_s : how long a connection may be idle between two requests.
+    listening_socket : a socket that already listens on the address; ``None`` to open one.
     """
     server = web.Server(
         handler,
--- a/mulleinreach/gateway/metrics.py
+++ b/mulleinreach/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of a gateway node, for Prometheus."""
+"""The Prometheus metrics of a gateway node."""
 
 from __future__ import annotations
 
@@ -82,48 +82,48 @@
         return Gauge(f"mulleinreach_gateway_{name}", text, registry=self.registry)
 
     def count_store_call(self, call: str, result: object) -> None:
-        """Count a call to the store, by the type of its result."""
+        """Count a call to the store by the class of its result."""
         self._store_calls.labels(call, type(result).__name__).inc()
 
     def count_answer(self, kind: str, status: int, seconds: float, sends: int) -> None:
-        """Count an answer and the sends that it took."""
+        """Count an answer to a caller and the requests to upstreams made for it."""
         self._answers.labels(kind, status).inc()
         self._seconds.labels(kind).observe(seconds)
         self._sends.labels(kind).inc(sends)
 
     def observe_stream(self, kind: str, first_event_s: float, longest_pause_s: float) -> None:
-        """Take in how soon a stream began, and its longest pause between events."""
+        """Record a stream's time to its first event and its longest pause between events."""
         self._first_event.labels(kind).observe(first_event_s)
         self._pause.labels(kind).observe(longest_pause_s)
 
     def count_event(self, name: str) -> None:
-        """Count an event of the log."""
+        """Count a logged event."""
         self._events.labels(name).inc()
 
     def observe_repair(self, seconds: float) -> None:
-        """Take in how long a group was missing."""
+        """Record the time from the end of a serving group to the opening of its replacement."""
         self._repair.observe(seconds)
 
     def set_groups(self, states: Mapping[str, int]) -> None:
-        """Set the number of groups in each state; a state that isn't named has none."""
+        """Set the number of groups in each state; all other states are removed."""
         self._groups.clear()
         for state, count in states.items():
             self._groups.labels(state).set(count)
 
     def count_denied(self, status: int) -> None:
-        """Count a request that was denied."""
+        """Count a denied request."""
         self._denied.labels(status).inc()
 
     def count_failed_send(self, outcome: str) -> None:
-        """Count a send that brought no answer."""
+        """Count a request to an upstream that got no valid answer."""
         self._failed.labels(outcome).inc()
 
     def count_withheld(self, count: int) -> None:
-        """Count the cold upstreams that were passed over when one was chosen for a request."""
+        """Count cold upstreams that were excluded from the choice for a request."""
         self._withheld.inc(count)
 
     def count_evacuated_send(self, hall: str) -> None:
-        """Count a request that was sent to a hall that is being emptied."""
+        """Count a request that was sent to an upstream in an evacuated hall."""
         self._evacuated_sends.labels(hall).inc()
 
     def count_order(self, order: str, outcome: str) -> None:
--- a/mulleinreach/gateway/model.py
+++ b/mulleinreach/gateway/model.py
@@ -8,7 +8,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated on a route."""
+    """Whether requests on a route may be retried after they may have run."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -25,17 +25,17 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests of one host and path prefix go, and under which terms.
+    """The destinations and policies of requests with one HTTP host and path prefix.
 
     Parameters
     ==========
 
-    timeout_s : the longest time that a request is held.
-    objective_s : the time to the answer (or its first event) that earns full credit.
-    max_attempts : to how many upstreams one request may be sent.
+    timeout_s : the maximum duration of a request, including its time in queues.
+    objective_s : the latency objective of the answer, or of a stream's first event.
+    max_attempts : the maximum number of upstreams that one request is sent to.
     is_public : whether a request needs no API key.
-    is_resumable : whether a stream may be continued at another replica.
-    gap_objective_s : the longest pause between events that is in time.
+    is_resumable : whether a stream may be continued at another upstream.
+    gap_objective_s : the objective for the longest pause between events of a stream.
     allowed_regions : the regions whose upstreams may serve it; ``None`` if any may.
     """
 
@@ -55,13 +55,13 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.is_resumable
         return self.kind is RouteKind.SAFE
 
     def pick_service(self, rng: random.Random) -> str:
-        """Return a destination, drawn by weight."""
+        """Return a random destination, chosen by weight."""
         if len(self.destinations) == 1:
             return self.destinations[0].service
         names = [d.service for d in self.destinations]
@@ -70,7 +70,16 @@
 
 @dataclass(frozen=True)
 class EngineModel:
-    """A model that a service's hosts can serve in groups of ``size`` hosts."""
+    """A model that a service's hosts can serve in groups of ``size`` hosts.
+
+    Parameters
+    ==========
+
+    share : its share of the service's work, used until there are requests to measure it by.
+    pace : the duration of its work relative to the times of the engine's profile.
+    load_s : how long a host takes to load the weights.
+    warm_s : how long a host takes to get ready if the weights are staged.
+    """
 
     name: str
     size: int
@@ -82,12 +91,19 @@
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """The cost model of a service's engines; times are of a model with pace 1.
+    """The cost model of a service's engines; times apply to a model with pace 1.
 
     Parameters
     ==========
 
-    report_lag_s : how old the state is that a host's own report shows.
+    slots : how many requests a group runs at the same time.
+    step_ms, per_sequence_ms : the time of a decoding step, as a constant part and a part
+        for each running request.
+    read_tokens_per_s : how many prompt tokens are processed in a second.
+    stride : the decoding steps for each event of a stream.
+    formation_s : how long a group takes to open once its members are ready.
+    loads_per_s, max_concurrent_loads : the limits on loads of weights in the service.
+    report_lag_s : the maximum age of the state in a host's own report.
     """
 
     models: tuple[EngineModel, ...]
@@ -102,19 +118,20 @@
     report_lag_s: float = 0.2
 
     def model(self, name: str) -> EngineModel | None:
-        """Return the model of this name."""
+        """Return the model with this name, ``None`` if the service doesn't have it."""
         return next((m for m in self.models if m.name == name), None)
 
 
 @dataclass(frozen=True)
 class Service:
-    """Upstreams that answer the same requests; ``engine`` is set for model services.
+    """A set of interchangeable upstreams; ``engine`` is set for model services.
 
     Parameters
     ==========
 
-    cold_s : for how long an upstream is cold after a start during traffic.
-    cold_per_s : the requests a second that a cold upstream bears; 0 if there is no bound.
+    cold_s : how long an upstream that starts during traffic stays cold, that is, has an
+        empty cache and a capped request rate.
+    cold_per_s : the requests per second that a cold upstream can handle; 0 for no cap.
     """
 
     name: str
@@ -126,7 +143,7 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """Bounds on what a caller may send."""
+    """Limits on the sizes and timeouts of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -136,11 +153,12 @@
 
 @dataclass(frozen=True)
 class Organisation:
-    """An owner of API keys; its priority goes before that of a route.
+    """A customer with its own API keys.
 
     Parameters
     ==========
 
+    priority : overrides the priority of routes; ``None`` to use theirs.
     allowed_regions : the regions whose upstreams may serve it; ``None`` if any may.
     """
 
@@ -152,7 +170,7 @@
 
 @dataclass(frozen=True)
 class Configuration:
-    """One version of everything that an operator decides."""
+    """One version of the operator's configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -174,7 +192,7 @@
                 self._organisations_by_key[key] = organisation
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``.
+        """Return the route of an HTTP host with the longest prefix that matches ``path``.
 
         Examples
         ========
@@ -191,18 +209,24 @@
         return None
 
     def organisation_for_key(self, key: str) -> Organisation | None:
-        """Return the organisation that holds an API key."""
+        """Return the organisation that owns an API key, ``None`` if the key is unknown."""
         return self._organisations_by_key.get(key)
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests on routes that aren't public need an API key."""
+        """Whether requests on non-public routes need an API key."""
         return self.organisations is not None
 
 
 @dataclass(frozen=True)
 class CallerTimeout:
-    """What nearly all callers of a route wait for at least when they first ask, in seconds."""
+    """A lower bound on the timeouts that callers of a route set on their first attempts.
+
+    Parameters
+    ==========
+
+    shortest_s : the bound in seconds, which nearly all first attempts exceed.
+    """
 
     route: str
     shortest_s: float
@@ -210,7 +234,14 @@
 
 @dataclass(frozen=True)
 class HeldContent:
-    """A request that isn't sent, by its digest, and for how much longer."""
+    """A request that is held (not sent to any upstream), since it made upstreams crash.
+
+    Parameters
+    ==========
+
+    content : the digest of the request.
+    remaining_s : how much longer it is held.
+    """
 
     content: int
     remaining_s: float
@@ -218,13 +249,13 @@
 
 @dataclass(frozen=True)
 class HandoverState:
-    """What a coordinator has learnt and nodes that start should know.
+    """State that a coordinator hands over to later coordinators and starting nodes.
 
     Parameters
     ==========
 
-    first_waits : how long callers of each route wait.
-    held : the requests that end the upstreams which run them.
+    first_waits : the callers' timeouts for each route.
+    held : the requests that are held.
     """
 
     first_waits: tuple[CallerTimeout, ...] = ()
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway node: puts the slices together, runs their tasks and stops as planned."""
+"""One gateway node: creates its components, runs their tasks and stops gracefully."""
 
 from __future__ import annotations
 
@@ -56,21 +56,25 @@
 from mulleinreach.gateway.upstream import Notice, Upstream
 
 CONNECT_TIMEOUT_S = 0.35
-# Callers' connections are closed earlier, after the idle time of the configuration.
+# An upper bound only: callers' connections are closed after the configured idle timeout.
 CALLERS_IDLE_TIMEOUT_S = 3600.0
 UPSTREAM_LIST_READ_DELAY_S = 0.03
+# The time left before SIGKILL for closing connections and tasks.
 ABORT_MARGIN_S = 1.0
+# How long a load balancer may keep opening connections after the node reports not ready.
 BALANCER_DRAIN_S = 2.9
 STOP_POLL_INTERVAL_S = 0.05
 
 
 class GatewayNode:
-    """A whole node, on the ports that an adapter gives it.
+    """A gateway node that reaches its platform through the ports of an adapter.
 
     Parameters
     ==========
 
-    callers_socket : listens on the callers' address already; ``None`` if nothing does.
+    seed : of the node's random numbers; ``None`` for a random seed.
+    callers_socket : a socket that already listens on the callers' address; ``None`` to open
+        one.
     """
 
     def __init__(
@@ -117,7 +121,7 @@
         turn = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
-        # The answer to the first question tells whether the second is worth asking.
+        # The configuration is read first; its result shows whether the store answers at all.
         list_turn = replace(turn, extra_s=turn.extra_s + UPSTREAM_LIST_READ_DELAY_S)
         evacuations = Evacuations(
             self.bounds.evacuation_s, self.identity.regions, self.clock, self.log
@@ -257,7 +261,7 @@
         )
 
     async def start(self) -> None:
-        """Listen, then begin all tasks."""
+        """Open all listening sockets, then start all tasks."""
         await self.coordination.listen()
         callers = await self._serve(
             self.relay.handle,
@@ -294,7 +298,7 @@
         limits = configuration.limits if configuration else RequestLimits()
         return limits.idle_timeout_s
 
-    # What the slices ask and tell.
+    # Callbacks of the components.
 
     def _store_pause_s(self, failures: int) -> float:
         if self.coordination.is_hub:
@@ -346,7 +350,7 @@
     # Readiness and metrics.
 
     def is_ready(self) -> bool:
-        """Whether new connections should come to this node."""
+        """Whether this node should get new connections."""
         return not self.is_stopping and self.in_force.configuration is not None
 
     async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
@@ -372,10 +376,10 @@
         body = generate_latest(self.metrics.registry)
         return web.Response(body=body, headers={"Content-Type": CONTENT_TYPE_LATEST})
 
-    # Ending.
+    # Stopping.
 
     async def stop(self) -> None:
-        """Stop as planned: not ready at once, hand duties over, finish what is in flight."""
+        """Stop gracefully: report not ready, hand over duties, finish requests in flight."""
         started_at = self.clock.now()
         self.is_stopping = self.relay.is_stopping = True
         self.coordination.begin_stopping()
@@ -383,9 +387,8 @@
         abort_at = started_at + self.bounds.stop_grace_s - ABORT_MARGIN_S
         drained_at = min(started_at + BALANCER_DRAIN_S, abort_at)
         await asyncio.sleep(drained_at - started_at)
-        # By now the balancer sends no new connections. A request that came later, over
-        # a kept one, might not end in time, so connections are closed: at once where
-        # they rest, else after the answer that is under way.
+        # The load balancer opens no new connections by now. Requests on existing ones might
+        # not finish in time, so idle connections are closed now, others after their answer.
         for server, listener in self._servers:
             listener.close()
             self.relay.connections.close_all(server.connections)
@@ -395,7 +398,7 @@
         self.log.event("node_stopped", in_flight=self.relay.in_flight)
 
     async def abort(self) -> None:
-        """End everything at once."""
+        """Cancel all tasks and close all connections immediately."""
         await self._tasks.close()
         await self.coordination.close()
         for server, listener in self._servers:
--- a/mulleinreach/gateway/ports.py
+++ b/mulleinreach/gateway/ports.py
@@ -1,10 +1,10 @@
-"""What a gateway needs from the world around it, as protocols and typed messages.
+"""Interfaces between the gateway and a platform, as protocols and typed messages.
 
 Explanation
 ===========
 
-The slices of the gateway own these protocols; an adapter implements them for one
-platform. Nothing here knows how a platform spells its fields.
+An adapter implements these protocols for one platform. They don't depend on the names
+that a platform gives to its fields and headers.
 """
 
 from __future__ import annotations
@@ -18,31 +18,30 @@
 from mulleinreach.gateway.model import Configuration, HandoverState
 from mulleinreach.gateway.upstream import Notice, Upstream
 
-# Results of reading a source. Revisions, and the versions of rows, are those that
-# ``gateway.revision`` makes: of two, the greater is the later one, also after the store was
-# restored.
+# Results of reading a source. Revisions and row versions are built by ``gateway.revision``:
+# the greater of two is the later one, also across a restore of the store.
 
 
 @dataclass(frozen=True)
 class Unavailable:
-    """The platform gave no usable answer; nothing is known."""
+    """The call failed or gave an unusable answer, so its outcome is unknown."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class HistoryLost:
-    """The revision to continue from is too old; read everything anew."""
+    """The store no longer has the changes since a revision, so all rows must be read again."""
 
 
 @dataclass(frozen=True)
 class EvacuationRow:
-    """An operator's request to send nothing more to the upstreams of a hall.
+    """An operator's request to evacuate a hall, so that its upstreams get no more requests.
 
     Parameters
     ==========
 
-    version : that of its row; 0 where there is no such request.
+    version : the version of the request's row; 0 if the hall has no request.
     """
 
     hall: str
@@ -51,13 +50,13 @@
 
 @dataclass(frozen=True)
 class OperatorRows:
-    """The versions of the rows that operators write, as they were read last.
+    """The versions of the rows that operators write, as last read.
 
     Parameters
     ==========
 
     configuration : the version of the configuration's row.
-    evacuations : each hall of the deployment, and others with a request.
+    evacuations : one row for each hall of the deployment or with an evacuation request.
     """
 
     configuration: int
@@ -66,15 +65,15 @@
 
 @dataclass(frozen=True)
 class ConfigurationRead:
-    """The newest configuration at ``revision``; ``None`` when there is none, or no new one.
+    """The newest configuration at ``revision``; ``None`` if it is missing or unchanged.
 
     Parameters
     ==========
 
-    document : the configuration in a form that other nodes can decode.
-    row_version : the version of its own row, ``None`` if the answer doesn't tell it.
-    evacuations : the requests to empty halls that stand, or that came and went.
-    is_whole : whether halls that aren't named have no request; else theirs haven't changed.
+    document : the configuration, encoded for transfer to other nodes.
+    row_version : the version of the configuration's row, ``None`` if it wasn't read.
+    evacuations : the evacuation requests that were read.
+    is_whole : whether ``evacuations`` is complete; otherwise it holds changes only.
     """
 
     revision: int
@@ -87,12 +86,13 @@
 
 @dataclass(frozen=True)
 class UnusableRow:
-    """A row of the list that names no upstream to use; another writer may have left it.
+    """A row of the upstream list that can't be parsed as an upstream.
 
     Parameters
     ==========
 
-    name : under which it stands on the list.
+    name : the key of the row.
+    reason : why it can't be parsed.
     """
 
     name: str
@@ -101,13 +101,13 @@
 
 @dataclass(frozen=True)
 class UpstreamsRead:
-    """Upstreams that stand or changed at ``revision``.
+    """The upstreams at ``revision``, or those that changed up to it.
 
     Parameters
     ==========
 
-    removed : the names of those that are off the list, or whose rows name none any more.
-    unusable : the rows among those that were read that name no upstream.
+    removed : the names of upstreams whose rows were removed or became unusable.
+    unusable : the rows that can't be parsed as upstreams.
     """
 
     revision: int
@@ -117,7 +117,7 @@
 
 
 class ConfigurationSource(Protocol):
-    """Where the operator's configuration and requests to empty halls come from."""
+    """Reads the operator's configuration and the evacuation requests."""
 
     async def read(self) -> ConfigurationRead | Unavailable:
         """Return the newest configuration."""
@@ -125,35 +125,39 @@
     async def wait(
         self, revision: int, wait_s: float
     ) -> ConfigurationRead | HistoryLost | Unavailable:
-        """Return as soon as there is a change after ``revision``, or when the wait is over."""
+        """Return the first change after ``revision``, or an unchanged read after the timeout."""
 
     def decode(self, document: bytes) -> Configuration | None:
-        """Return the configuration that another node has read, ``None`` if it is unreadable."""
+        """Decode a configuration that another node has read; ``None`` if it is invalid."""
 
 
 class UpstreamSource(Protocol):
-    """Where the list of upstreams comes from."""
+    """Reads the list of upstreams."""
 
     async def read(self) -> UpstreamsRead | Unavailable:
         """Return all upstreams."""
 
     async def wait(self, revision: int, wait_s: float) -> UpstreamsRead | HistoryLost | Unavailable:
-        """Return the changes after ``revision`` as soon as there are any."""
+        """Return the first changes after ``revision``, or an empty read after the timeout."""
 
 
-# The lease of the coordinator.
+# The coordinator's lease.
 
 
 @dataclass(frozen=True)
 class LeaseRecord:
-    """Who coordinates; ``token`` rises with each change of holder.
-
-    ``secret`` is new with each holder: a node that names it has read the store.
+    """The record of the coordinator's lease.
 
     Parameters
     ==========
 
-    era : that of the store when the record was written, as far as the holder knew.
+    holder : the id of the holder's process.
+    address : where the holder accepts reports of the other nodes.
+    token : the fencing token, which increases with each change of holder.
+    renewal : how many times the holder has renewed the lease.
+    secret : generated for each holder; a node that presents it has read the record.
+    inheritance : the state that a coordinator hands over to its successors.
+    era : the store's era when the record was written, as known to the holder.
     """
 
     holder: str
@@ -167,12 +171,12 @@
 
 @dataclass(frozen=True)
 class LeaseRead:
-    """The lease's row; ``version`` is 0 and ``record`` is ``None`` when it is absent.
+    """The lease's row; if it is absent, ``version`` is 0 and ``record`` is ``None``.
 
     Parameters
     ==========
 
-    era : that of the store, which may have been restored since the record was written.
+    era : the store's current era, which a restore may have increased since the write.
     """
 
     version: int
@@ -182,23 +186,23 @@
 
 @dataclass(frozen=True)
 class LeaseWritten:
-    """The write was carried out."""
+    """The lease's row was written."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class LeaseConflict:
-    """Somebody else wrote the row first."""
+    """Nothing was written, since another node wrote the lease's row first."""
 
 
 @dataclass(frozen=True)
 class OperatorRowsChanged:
-    """Nothing was written, since a row of the operators is not as it was said to be."""
+    """Nothing was written, since a row of the operators has another version than expected."""
 
 
 class LeaseStore(Protocol):
-    """A row that is written under a condition on its version."""
+    """Stores the lease in a row that is written by compare-and-set on its version."""
 
     async def read(self) -> LeaseRead | Unavailable:
         """Return the row."""
@@ -211,8 +215,8 @@
         Parameters
         ==========
 
-        unchanged : the operators' rows, which must still have their versions, too. A write
-            that is done then proves that they have written nothing since.
+        unchanged : the operators' rows, which must also have the given versions. A
+            successful write proves that operators have written nothing since these.
         """
 
 
@@ -221,7 +225,7 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """The order was begun, or what it asks for holds already."""
+    """The host has begun the order, or was already in the requested state."""
 
 
 @dataclass(frozen=True)
@@ -233,28 +237,28 @@
 
 @dataclass(frozen=True)
 class NoAnswer:
-    """It is not known whether the order was, or will be, carried out."""
+    """The outcome of the order is unknown; it may still be carried out later."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Fenced:
-    """The order was refused since the host has seen one of a later coordinator."""
+    """The order was refused, since the host has seen a higher fencing token."""
 
 
 OrderResult = Accepted | Rejected | NoAnswer | Fenced
 
 
 class EngineOrders(Protocol):
-    """Orders to one host of a model service.
+    """Sends orders to the hosts of a model service.
 
-    Each order carries the fencing token of the lease under which it is given. Engines
-    that look at it refuse an order whose token is lower than one that they have seen.
+    Each order carries the fencing token of the coordinator's lease. Engines that check it
+    refuse an order whose token is lower than the highest one that they have seen.
     """
 
     def subscribe(self, on_notice: Callable[[Upstream, Notice], None]) -> None:
-        """Have what hosts say of themselves in their answers told, too."""
+        """Set the callback for the notices in the answers of hosts."""
 
     async def join(
         self,
@@ -268,28 +272,28 @@
         """Make the host a member of a group; the first member is the head."""
 
     async def open(self, head: Upstream, group: str, epoch: int, token: int) -> OrderResult:
-        """Let a group that is ready serve."""
+        """Let a ready group serve requests."""
 
     async def leave(self, host: Upstream, group: str, epoch: int, token: int) -> OrderResult:
-        """Take the host out of a group at once."""
+        """Make the host leave a group immediately."""
 
     async def stage(self, host: Upstream, model: str, token: int) -> OrderResult:
-        """Make the host load a model's weights beside what it does.
+        """Make the host load a model's weights in the background.
 
-        They take the place of those that lie on the host; the model of its latest group
-        stays as quick to join as before.
+        They replace the weights that were staged before. Joining a group of the host's
+        latest model stays as fast as before.
         """
 
     async def report(self, host: Upstream, timeout_s: float) -> Upstream | Unavailable:
-        """Ask the host itself for its state; ``Unavailable`` if it gives no answer."""
+        """Return the state that the host reports; ``Unavailable`` without an answer."""
 
 
-# The dialect that callers and upstreams speak.
+# The headers of requests and answers.
 
 
 @dataclass(frozen=True)
 class CallerHeaders:
-    """What a caller's headers say, each ``None`` where it is absent or unreadable."""
+    """The parsed headers of a caller's request; ``None`` for absent or invalid ones."""
 
     request_id: str | None
     deadline_s: float | None
@@ -301,12 +305,12 @@
 
 
 class Dialect(Protocol):
-    """Names of headers and meanings of answers, towards callers and upstreams."""
+    """Translates the headers and status codes of a platform's callers and upstreams."""
 
     ready_path: str
 
     def read_request(self, headers: CIMultiDictProxy[str]) -> CallerHeaders:
-        """Return what a request's headers say."""
+        """Parse the headers of a caller's request."""
 
     def forward_headers(
         self,
@@ -317,27 +321,27 @@
         last_event_id: str | None,
         priority: int | None,
     ) -> CIMultiDict[str]:
-        """Return the headers of the request to an upstream."""
+        """Return the headers for the request to an upstream."""
 
     def was_refused(self, status: int, headers: CIMultiDictProxy[str]) -> bool:
-        """Whether the upstream says that it did not and won't run the request."""
+        """Whether the upstream states that it has not run the request and won't run it."""
 
     def read_notice(self, status: int, headers: CIMultiDictProxy[str]) -> Notice:
-        """Return what an answer says of the upstream that gave it."""
+        """Return the notice that an answer carries about its upstream."""
 
     def belongs_to(self, headers: CIMultiDictProxy[str], request_id: str | None) -> bool:
-        """Whether an answer is the one to the request of this id."""
+        """Whether an answer belongs to the request with this id."""
 
     def is_signed(self, headers: CIMultiDictProxy[str]) -> bool:
         """Whether an answer carries the upstream's signature."""
 
     def refusal_headers(self, request_id: str | None) -> CIMultiDict[str]:
-        """Return the headers of an answer that the gateway makes itself."""
+        """Return the headers for an error answer of the gateway itself."""
 
 
 @dataclass(frozen=True)
 class Ports:
-    """All that an adapter provides."""
+    """The interfaces that a platform's adapter implements."""
 
     configurations: ConfigurationSource
     upstreams: UpstreamSource
--- a/mulleinreach/gateway/process.py
+++ b/mulleinreach/gateway/process.py
@@ -1,4 +1,4 @@
-"""Runs one gateway node as a process, until it is told to stop."""
+"""Runs one gateway node as a process until it receives a stop signal."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     make_ports: Callable[[Network], Ports],
     callers: socket.socket | None,
 ) -> None:
-    """Run a node until SIGTERM or SIGINT, then stop it as planned.
+    """Run a node until SIGTERM or SIGINT, then stop it gracefully.
 
     Parameters
     ==========
 
-    make_ports : returns the ports of an adapter; called within the node's event loop.
-    callers : listens on the callers' address already; ``None`` if nothing does.
+    make_ports : creates the adapter's ports; called within the node's event loop.
+    callers : a socket that already listens on the callers' address; ``None`` to open one.
     """
     logging.set_verbosity(logging.INFO)
     write_without_blocking()
@@ -50,7 +50,7 @@
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop_requested.set)
-    # Settings that a running node uses don't change; a new start reads the others.
+    # A running node doesn't reload its settings; changes apply at the next start.
     loop.add_signal_handler(signal.SIGHUP, lambda: node.log.event("settings_changed"))
     await node.start()
     await stop_requested.wait()
--- a/mulleinreach/gateway/revision.py
+++ b/mulleinreach/gateway/revision.py
@@ -1,22 +1,28 @@
-"""The order of what a store tells: by its era, then by its version.
+"""Revisions, which order the changes of a store across restores from a backup.
 
 Explanation
 ===========
 
-A store may come back from a copy that lacks its latest writes. Its versions then go back, and
-are given out again; each such return begins a new era. A revision holds both in one whole
-number, the era in its upper bits, so that the greater of two revisions is the later one, and
-those of different eras never meet. ZooKeeper numbers its transactions in the same way.
+A restore from a backup resets the store's versions, which are then assigned again. Each
+restore begins a new era. A revision is an integer with the era in its upper bits and the
+version in its lower ones, so the greater of two revisions is always the later one. ZooKeeper
+builds its transaction ids (zxids) in the same way.
 """
 
 from __future__ import annotations
 
-# A thousand writes a second fill them in 34 years.
+# Enough for 34 years of a thousand writes per second.
 VERSION_BITS = 40
 
 
 def make_revision(era: int, version: int) -> int:
-    """Return the revision of a version; raises :class:`ValueError` for one that is no version.
+    """Return the revision of a version in an era.
+
+    Raises
+    ======
+
+    ValueError
+        If the version is negative or has more than ``VERSION_BITS`` bits.
 
     Examples
     ========
@@ -26,15 +32,15 @@
     >>> make_revision(0, -1)
     Traceback (most recent call last):
     ...
-    ValueError: no version: -1
+    ValueError: version out of range: -1
     """
     if not 0 <= version < 1 << VERSION_BITS:
-        raise ValueError(f"no version: {version}")
+        raise ValueError(f"version out of range: {version}")
     return (era << VERSION_BITS) | version
 
 
 def row_revision(era: int, version: int) -> int:
-    """Return the revision of a row's latest change, 0 for an absent row, whose version is 0.
+    """Return the revision of a row's latest change; 0 for an absent row (version 0).
 
     Examples
     ========
@@ -70,7 +76,7 @@
 
 
 def format_revision(revision: int) -> str:
-    """Return a revision as it stands in a log line, without an era where there is none.
+    """Format a revision for log lines as ``era.version``; era 0 is left out.
 
     Examples
     ========
--- a/mulleinreach/gateway/stored_rows.py
+++ b/mulleinreach/gateway/stored_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a store that numbers its changes, as an adapter reads and writes them."""
+"""Rows of a versioned store, and the results of reading and writing them."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True)
 class StoreRow:
-    """A row; ``value`` is ``None`` for one that was removed or can't be read.
+    """A row; ``value`` is ``None`` if the row was removed or can't be decoded.
 
     Parameters
     ==========
 
     version : the revision of its latest change.
-    unreadable_reason : why it can't be read; empty if it can.
+    unreadable_reason : why it can't be decoded; empty if it can.
     """
 
     key: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class StoreRows:
-    """Rows of one moment, and the store's revision at that moment."""
+    """A consistent read of several rows at one revision of the store."""
 
     revision: int
     rows: list[StoreRow]
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True)
 class Written:
-    """The row was written, and has this revision now."""
+    """The row was written; ``version`` is its new revision."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class RowState:
-    """A row's place and the revision of its latest change; 0 means that it is absent."""
+    """A row's table and key, and the revision of its latest change; 0 if it is absent."""
 
     table: str
     key: str
@@ -52,17 +52,17 @@
 
 @dataclass(frozen=True)
 class Conflict:
-    """A row had another version than was expected, or one of an earlier era.
+    """A row had another version than expected, or a version of an earlier era.
 
-    Nothing was written, unless the store was restored while the write was on its way.
-    ``rows`` are the rows that were named, as they are now.
+    Nothing was written, unless the store was restored during the write. ``rows`` holds the
+    current states of the rows that the conflict was reported for.
     """
 
     rows: tuple[RowState, ...] = ()
 
 
 def is_of_earlier_era(row: RowState, era: int) -> bool:
-    """Whether a row's version can't be compared with those of an era; an absent row has none.
+    """Whether a row's version is from before ``era``; always false for an absent row.
 
     Examples
     ========
--- a/mulleinreach/gateway/tests/desk.py
+++ b/mulleinreach/gateway/tests/desk.py
@@ -1,4 +1,4 @@
-"""Upstreams of the plain service that answer, fail or break off, as tests need them."""
+"""Handlers for upstreams of the plain service, and a helper that starts them."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 
 
 async def echo_path(request):
-    """Answer with the path, as a sound upstream does."""
+    """Answer with the request's path, signed and with its id, as a correct upstream does."""
     await request.read()
     headers = {REQUEST_ID: request.headers[REQUEST_ID], SIGNATURE: "s"}
     return web.Response(text=request.raw_path, headers=headers)
 
 
 async def fail(request):
-    """Fail after having run the request."""
+    """Answer with an error after running the request."""
     return web.Response(status=500, headers={REQUEST_ID: request.headers[REQUEST_ID]})
 
 
 async def refuse(request):
-    """Refuse before running the request."""
+    """Refuse the request without running it."""
     return web.Response(status=503, headers={REFUSED: "1"})
 
 
 async def reset_connection(request):
-    """Run the request and lose the answer."""
+    """Run the request, then abort the connection before the answer."""
     await request.read()
     request.transport.abort()
     return web.Response()
 
 
 async def answer_wrong_request(request):
-    """Answer a request that nobody asked."""
+    """Answer with the id of another request."""
     return web.Response(text="x", headers={REQUEST_ID: "another", SIGNATURE: "s"})
 
 
 async def answer_unsigned(request):
-    """Answer without the upstream's signature."""
+    """Answer without the upstream's signature header."""
     return web.Response(text="x", headers={REQUEST_ID: request.headers[REQUEST_ID]})
 
 
 async def hang(request):
-    """Give no answer."""
+    """Never answer."""
     await asyncio.sleep(3600)
 
 
 async def truncate_response(request):
-    """Announce more bytes than are sent."""
+    """Close the connection before the announced content length is sent."""
     headers = {REQUEST_ID: request.headers[REQUEST_ID], SIGNATURE: "s", "Content-Length": "99"}
     response = web.StreamResponse(headers=headers)
     await response.prepare(request)
@@ -61,7 +61,7 @@
 
 
 async def start_plain_upstreams(world, *scripts):
-    """Start one upstream for each script, and wait until the node knows them."""
+    """Start one upstream for each handler, and wait until ``node-0`` is ready and lists them."""
     for number, script in enumerate(scripts):
         await world.add_plain(f"desk-{number}", script)
     await world.until(lambda: len(world.nodes["node-0"].directory) >= len(scripts))
--- a/mulleinreach/gateway/tests/limited.py
+++ b/mulleinreach/gateway/tests/limited.py
@@ -1,4 +1,4 @@
-"""Upstreams that name a limit of requests a second, and how many they got."""
+"""Helpers for tests of upstreams that limit their requests per second."""
 
 from __future__ import annotations
 
@@ -9,25 +9,26 @@
 from mulleinreach.standins.gateway.dialect import LIMIT
 from mulleinreach.standins.gateway.world import GatewayWorld
 
-# The operators' rule: what may come within so many seconds from nodes that know of the limit.
+# The operators' rule: in any window, an upstream may get ``OVERAGE`` times its limit plus
+# ``SLACK`` requests from nodes that know the limit.
 WINDOW_S = 4.0
 OVERAGE, SLACK = 1.5, 5
-# From when on it binds a node that was told by an answer, and the whole system.
+# How soon a limit applies at the node that received it, and at all nodes.
 NODE_PROPAGATION_S, SYSTEM_PROPAGATION_S = 0.5, 3.0
 
 
 def limit_headers(per_s: float) -> dict[str, str]:
-    """Return the headers of an upstream's answers that name a limit."""
+    """Return the headers with which an upstream's answers state its limit."""
     return {LIMIT: f"{per_s:g}"}
 
 
 def max_allowed_requests(per_s: float) -> float:
-    """Return how many requests may come within a window."""
+    """Return the maximum number of requests within a window."""
     return OVERAGE * per_s * WINDOW_S + SLACK
 
 
 def max_requests_in_window(arrivals: list[float], since: float = -math.inf) -> int:
-    """Return the most requests that came within any window that begins after a moment."""
+    """Return the largest number of arrivals in any window that begins at or after ``since``."""
     later = sorted(at for at in arrivals if at >= since)
     return max(
         (sum(first <= at < first + WINDOW_S for at in later) for first in later),
@@ -36,24 +37,31 @@
 
 
 def assert_limit_kept(arrivals: list[float], per_s: float, since: float = -math.inf) -> None:
-    """Check that a limit was kept from a moment on."""
+    """Check that no window from ``since`` on has more arrivals than a limit allows."""
     assert max_requests_in_window(arrivals, since) <= max_allowed_requests(per_s)
 
 
 def requests_per_s(arrivals: list[float], since: float, until: float) -> float:
-    """Return how many requests came a second in a time."""
+    """Return the mean rate of arrivals between two times."""
     return sum(since <= at < until for at in arrivals) / (until - since)
 
 
 async def request_all_nodes(
     world: GatewayWorld, seconds: float, per_s: float, send
 ) -> list[object]:
-    """Ask all nodes in turn, so many times a second together, whatever became of earlier asks.
+    """Send requests to all nodes in turn at a fixed rate, without waiting for answers.
 
     Parameters
     ==========
 
-    send : called with a node's name.
+    per_s : the total rate of requests.
+    send : sends one request; called with a node's name.
+
+    Returns
+    =======
+
+    list
+        The answers and the exceptions, in the order of the requests.
     """
     pending = []
     names = itertools.cycle(sorted(world.nodes))
--- a/mulleinreach/gateway/tests/logged.py
+++ b/mulleinreach/gateway/tests/logged.py
@@ -1,4 +1,4 @@
-"""Keeps the events that a node logs, for tests of its log lines."""
+"""Records the events that a node logs, for tests of its log lines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True)
 class LoggedEvent:
-    """An event with its fields."""
+    """A logged event and its fields."""
 
     name: str
     fields: dict[str, object]
 
 
 def record_events(node: GatewayNode) -> list[LoggedEvent]:
-    """Return a list to which each later event of a node is added."""
+    """Return a list to which each later event of a node is appended."""
     recorded: list[LoggedEvent] = []
     log = node.log.event
 
@@ -29,5 +29,5 @@
 
 
 def event_fields(recorded: list[LoggedEvent], name: str) -> list[dict[str, object]]:
-    """Return the fields of all events of a name."""
+    """Return the fields of all events with a name."""
     return [event.fields for event in recorded if event.name == name]
--- a/mulleinreach/gateway/tests/noticed.py
+++ b/mulleinreach/gateway/tests/noticed.py
@@ -1,4 +1,4 @@
-"""Upstreams that say something of themselves in their answers, and when requests reach them."""
+"""Helpers for tests of upstreams that signal a state in the headers of their answers."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, GatewayWorld
 
 REST_S = 3.0
-# What was on its way when an upstream asked for rest may still come for so long.
+# How long requests that were already in flight may arrive after a request for rest.
 IN_FLIGHT_GRACE_S = 0.5
 LEAVING_HEADERS = {LEAVING: "1"}
 REST_HEADERS = {RETRY_AFTER: f"{REST_S:g}"}
 
 
 class ScriptedUpstream:
-    """The script of a plain upstream, which can be made to refuse, and keeps count.
+    """A handler of a plain upstream that records arrivals and can refuse requests.
 
     Parameters
     ==========
 
-    headers : go with each of its answers.
+    headers : added to each of its answers.
     """
 
     def __init__(self, headers: dict[str, str] | None = None):
@@ -34,7 +34,7 @@
         self.arrivals: list[float] = []
 
     async def __call__(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer a request."""
+        """Record and answer a request."""
         self.arrivals.append(asyncio.get_running_loop().time())
         if self.refuses:
             headers = {REFUSED: "1", REQUEST_ID: request.headers[REQUEST_ID], **self.headers}
@@ -44,23 +44,23 @@
         return answer
 
     def arrivals_between(self, first: float, last: float) -> int:
-        """Return how many requests came within a time."""
+        """Return the number of requests that arrived between two times."""
         return sum(first <= at <= last for at in self.arrivals)
 
 
 def large_heads(world: GatewayWorld, node: str = "node-0") -> list[HostStandIn]:
-    """Return the heads of the large model that a node would use."""
+    """Return the hosts that a node uses as heads of the large model."""
     heads = world.nodes[node].chooser.heads(MODEL_SERVICE, LARGE)
     return [world.fabric.hosts[head.upstream.id] for head in heads]
 
 
 def count_during_rest(arrivals: list[float], asked_at: float, rest_s: float = REST_S) -> int:
-    """Return how many requests came within a rest, those left out that were on their way."""
+    """Return the number of arrivals during a rest, except for requests already in flight."""
     return sum(asked_at + IN_FLIGHT_GRACE_S < at < asked_at + rest_s for at in arrivals)
 
 
 async def request_repeatedly(seconds: float, send: Callable[[], object]) -> list[object]:
-    """Ask ten times a second, whether or not the earlier ones were answered."""
+    """Send ten requests per second without waiting for answers, and return all answers."""
     pending = []
     for _ in range(round(seconds * 10)):
         pending.append(asyncio.ensure_future(send()))
--- a/mulleinreach/gateway/tests/support.py
+++ b/mulleinreach/gateway/tests/support.py
@@ -1,4 +1,4 @@
-"""Runs a test against a whole gateway deployment on the virtual clock."""
+"""Runs tests against a simulated gateway deployment on a virtual clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def run_world(test: Callable[[GatewayWorld], Awaitable[None]], **options) -> None:
-    """Start a world, run ``test`` in it and end it; no check of the hosts may be broken."""
+    """Run ``test`` in a simulated deployment, and assert that no check of its hosts failed."""
 
     async def run() -> None:
         world = GatewayWorld(**options)
@@ -26,7 +26,7 @@
 
 
 def block_store_access(node) -> None:
-    """Have the store refuse all calls of one node."""
+    """Make all store calls of one node fail."""
     for port in (node.ports.lease, node.ports.configurations, node.ports.upstreams):
         for name in ("read", "write", "wait"):
             if hasattr(port, name):
@@ -34,19 +34,19 @@
 
 
 def restore_store_access(node) -> None:
-    """Have the store answer a node that it has turned away."""
+    """Let a node call the store again after :func:`block_store_access`."""
     for port in (node.ports.lease, node.ports.configurations, node.ports.upstreams):
         for name in ("read", "write", "wait"):
             vars(port).pop(name, None)
 
 
 async def return_unavailable(*args) -> Unavailable:
-    """Answer a call as the store does for a node that it turns away."""
+    """Return the result of a failed store call."""
     return Unavailable("turned away")
 
 
 async def request_streams_forever(world: GatewayWorld, model: str) -> None:
-    """Ask for streams for ever, as the callers do whose silence shows a loss."""
+    """Keep requesting streams, since a lost group shows only by its stalled streams."""
     running = set()
     while True:
         running.add(asyncio.create_task(world.stream(20, model=model)))
--- a/mulleinreach/gateway/tests/test_imports.py
+++ b/mulleinreach/gateway/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between the folders of the gateway run one way, from the top down."""
+"""Guards against imports of the gateway's modules from a higher layer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 FOLDER = Path(mulleinreach.gateway.__file__).parent
 PREFIX = "mulleinreach.gateway."
-# Each may import what stands before it, and modules of its own folder.
+# Each layer may import the layers before it and modules of its own folder.
 LAYERS_BOTTOM_UP = [
     "revision",
     "stored_rows",
@@ -45,7 +45,7 @@
 
 
 def _imported(source: str) -> list[str]:
-    """Return the names of all modules that a source imports, also within functions."""
+    """Return all imported names in a source, including imports within functions."""
     names = []
     for statement in ast.walk(ast.parse(source)):
         if isinstance(statement, ast.Import):
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop finishes what runs and takes nothing that it can not finish."""
+"""Guards against requests that a graceful stop aborts or accepts too late."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 async def answer_slowly(request):
-    """Answer soundly after most of a second."""
+    """Answer correctly after a delay."""
     await asyncio.sleep(0.8)
     return await echo_path(request)
 
@@ -49,7 +49,7 @@
             answer = await world.call("/order/1", b"2 tins")
             assert answer.status == 200
         except aiohttp.ClientConnectionError:
-            # Not taken any more, so it may be sent to another node.
+            # The node didn't accept the request, so the caller can retry at another one.
             assert world.plain["desk-0"].seen == []
         await stopping
 
@@ -98,7 +98,7 @@
 
 
 async def _finish_slowly():
-    """Take a while to end, as tasks do on a busy node."""
+    """Delay its cancellation, like a task on an overloaded node."""
     try:
         await asyncio.sleep(3600)
     finally:
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A node whose machine was suspended acts on nothing that has grown old meanwhile."""
+"""Guards against nodes that act on expired state after their machine was suspended."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def find_follower(world) -> str:
-    """Return a node that doesn't coordinate."""
+    """Return the name of a node that isn't the coordinator."""
     return next(name for name in world.nodes if name != world.coordinator())
 
 
@@ -32,7 +32,7 @@
         world.suspend(name, SUSPENDED_S)
         assert not holder.lease.is_held()
         order_count = len(world.fabric.orders_by_token[token])
-        # Its hosts lose a member now; the order to repair waits for the lease.
+        # A group loses a member now; the order for its repair needs the lease.
         host = next(h for h in world.fabric.hosts.values() if h.standing is not None)
         world.crashes.begin(host.id, back_after_s=0.05, keeps_name=True)
         while not holder.lease.is_held() and holder.lease.token == token:
--- a/mulleinreach/gateway/tests/traffic.py
+++ b/mulleinreach/gateway/tests/traffic.py
@@ -1,4 +1,4 @@
-"""Traffic through all nodes to upstreams in three halls, and when each hall got it."""
+"""Continuous requests through all nodes to upstreams in three halls."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Traffic:
-    """Requests of both kinds through all nodes, and when each hall's upstreams got them."""
+    """Sends plain and streaming requests through all nodes, and records their times by hall."""
 
     def __init__(self, world):
         self._world = world
@@ -22,7 +22,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
-        """Ask for ever, once there is an upstream of each kind in each hall."""
+        """Start upstreams in each hall, then send requests until :meth:`stop`."""
         for hall in self._world.halls:
             await self._world.add_plain(f"desk-{hall}", self._make_handler(hall), hall)
         await self._world.until_formed()
@@ -48,16 +48,16 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _call(self, path: str, node: str, body: bytes = b"") -> None:
-        # A node may be killed meanwhile.
+        # The test may abort the node during the request.
         with contextlib.suppress(aiohttp.ClientError, KeyError):
             await self._world.call(path, body, node=node)
 
     def plain_request_times(self, hall: str) -> list[float]:
-        """Return when upstreams of the plain service were sent requests."""
+        """Return when upstreams of the plain service in a hall received requests."""
         return self._plain_request_times[hall]
 
     def model_request_times(self, hall: str) -> list[float]:
-        """Return when hosts of a hall began requests."""
+        """Return when hosts of the model service in a hall began to run requests."""
         checks, hosts = self._world.fabric.checks, self._world.fabric.hosts
         return [
             at
@@ -67,18 +67,18 @@
         ]
 
     def request_times_after(self, hall: str, moment: float) -> list[float]:
-        """Return the starts of either kind after a moment."""
+        """Return the times of plain and streaming requests in a hall after a moment."""
         starts = self.plain_request_times(hall) + self.model_request_times(hall)
         return [at for at in starts if at > moment]
 
     async def stop(self) -> None:
-        """Ask no more."""
+        """Stop sending requests."""
         for task in list(self._tasks):
             task.cancel()
 
 
 def run_traffic(test, **options) -> None:
-    """Run a test beside traffic through three halls."""
+    """Run a test during continuous traffic through three halls."""
 
     async def run(world):
         traffic = Traffic(world)
--- a/mulleinreach/gateway/upstream.py
+++ b/mulleinreach/gateway/upstream.py
@@ -1,4 +1,4 @@
-"""The upstreams that take requests, and how their groups are named."""
+"""Upstreams, their membership in groups, and the formats of ids and group names."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from mulleinreach.common import Address
 
-# Stands between name and start in an upstream's id, and in no name.
+# Separates the name from the start time in an upstream's id; not allowed in names.
 START_SEPARATOR = "@"
 
 
 class UpstreamState(enum.StrEnum):
-    """Whether an upstream takes new work."""
+    """Whether an upstream accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """The group that a host stands in; rank 0 is the head."""
+    """A host's membership in a group; rank 0 is the head."""
 
     group: str
     epoch: int
@@ -40,17 +40,18 @@
 
 @dataclass(frozen=True)
 class Upstream:
-    """One incarnation of an upstream, as the list or the host itself tells it.
+    """One incarnation (one process start) of an upstream, as listed or self-reported.
 
     Parameters
     ==========
 
-    id : a new one at each start, see :func:`incarnation_id`.
+    id : unique for each start, see :func:`incarnation_id`.
+    slots : how many requests it runs at the same time.
     models : the names of the models that it runs.
-    staged : the names of the models whose weights lie on the host.
+    staged : the names of the models whose weights are staged on the host.
     domain : the fabric domain; ``None`` for plain services.
-    pace : how many times longer than usual its work takes, as it reported itself.
-    cold_s : for how much longer it is cold, from when this was heard; 0 if it is warm.
+    pace : its reported slowdown factor; 1 at normal speed.
+    cold_s : how much longer it is cold, counted from the receipt of this state; 0 if warm.
     """
 
     id: str
@@ -68,22 +69,22 @@
 
     @property
     def group_key(self) -> tuple[str, int] | None:
-        """The name and epoch of the group that the host stands in."""
+        """The name and epoch of the group that the host is a member of."""
         membership = self.membership
         return None if membership is None else (membership.group, membership.epoch)
 
 
 @dataclass(frozen=True)
 class Notice:
-    """What an answer says of the upstream that gave it, whatever became of the request.
+    """The state that an upstream signals in the headers of an answer.
 
     Parameters
     ==========
 
-    is_leaving : whether the upstream is about to end and should get nothing new.
-    rest_s : for how long it wants nothing more from this node; 0 if it didn't ask for rest.
-    limit_per_s : how many requests a second it takes from all nodes together, until it says
-        something else; infinite if it sets no limit, ``None`` if the answer doesn't tell.
+    is_leaving : whether the upstream is shutting down and accepts no new requests.
+    rest_s : how long this node must send it no requests (``Retry-After``); 0 for no rest.
+    limit_per_s : its limit on requests per second from all nodes together, valid until the
+        next one; infinite for no limit, ``None`` if the answer doesn't state it.
     """
 
     is_leaving: bool = False
@@ -95,14 +96,14 @@
 
 
 def incarnation_id(name: str, started_ms: int | None) -> str:
-    """Return the id of one start of an upstream, which may keep its name across starts.
+    """Return the id of one start of an upstream, whose name may stay the same across starts.
 
     Parameters
     ==========
 
-    name : as it stands on the list.
-    started_ms : when it started, in milliseconds since the Unix epoch, if it tells. Its clock may
-        have been set back meanwhile, so that a later start may tell an earlier time.
+    name : its name on the list.
+    started_ms : its start time in milliseconds since the Unix epoch, ``None`` if unknown. It
+        isn't monotonic, since the upstream's clock may have been set back between starts.
 
     Examples
     ========
@@ -116,7 +117,7 @@
 
 
 def upstream_name(upstream_id: str) -> str:
-    """Return the name of an upstream on the list, whichever start an id is of.
+    """Return the name of an upstream on the list from the id of any of its starts.
 
     Examples
     ========
@@ -128,7 +129,7 @@
 
 
 def start_time_ms(upstream_id: str) -> int | None:
-    """Return when the start of an id was, if it is known.
+    """Return the start time in an upstream's id in milliseconds, ``None`` if it has none.
 
     Examples
     ========
@@ -141,12 +142,12 @@
 
 
 def group_name(epoch: int, model: str) -> str:
-    """Return the name of a group, by which any coordinator knows its model."""
+    """Return the name of a group, which contains its model."""
     return f"g{epoch}.{model}"
 
 
 def model_of_group(name: str) -> str | None:
-    """Return the model that a group's name tells.
+    """Return the model in a group's name, ``None`` if the name has another format.
 
     Examples
     ========
