--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -118,11 +118,11 @@
         )
         self.ports.orders.subscribe(self._on_notice)
         self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_content_held)
-        turn = direct_read_schedule(
+        schedule = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
         # The configuration is read first; its result shows whether the store answers at all.
-        list_turn = replace(turn, extra_s=turn.extra_s + UPSTREAM_LIST_READ_DELAY_S)
+        list_schedule = replace(schedule, extra_s=schedule.extra_s + UPSTREAM_LIST_READ_DELAY_S)
         evacuations = Evacuations(
             self.bounds.evacuation_s, self.identity.regions, self.clock, self.log
         )
@@ -143,7 +143,7 @@
             self.clock,
             self.log,
             self._reads_store_for_all,
-            turn,
+            schedule,
         )
         self.follower = UpstreamFollower(
             CountedSource(self.ports.upstreams, "upstreams", self.store_calls),
@@ -153,7 +153,7 @@
             self._reads_store_for_all,
             self._on_upstreams_changed,
             lambda: self.operator.is_waiting,
-            list_turn,
+            list_schedule,
             self.bounds.heartbeat_s,
         )
 
@@ -322,8 +322,8 @@
 
     def _report_lag_s(self, service: str) -> float:
         configuration = self.in_force.configuration
-        known = configuration.services.get(service) if configuration else None
-        return known.engine.report_lag_s if known and known.engine else 0.0
+        configured = configuration.services.get(service) if configuration else None
+        return configured.engine.report_lag_s if configured and configured.engine else 0.0
 
     def _node_count(self) -> int:
         return self.coordination.node_count
