--- a/mulleinreach/gateway/model.py
+++ b/mulleinreach/gateway/model.py
@@ -61,7 +61,7 @@
         return self.kind is RouteKind.SAFE
 
     def pick_service(self, rng: random.Random) -> str:
-        """Return a random destination, chosen by weight."""
+        """Return a random destination, drawn by weight."""
         if len(self.destinations) == 1:
             return self.destinations[0].service
         names = [d.service for d in self.destinations]
--- a/mulleinreach/gateway/ports.py
+++ b/mulleinreach/gateway/ports.py
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class HistoryLost:
-    """The store no longer has the changes since a revision, so all rows must be read again."""
+    """The store has discarded the changes since a revision, so all rows must be read again."""
 
 
 @dataclass(frozen=True)
--- a/mulleinreach/gateway/tests/limited.py
+++ b/mulleinreach/gateway/tests/limited.py
@@ -9,8 +9,7 @@
 from mulleinreach.standins.gateway.dialect import LIMIT
 from mulleinreach.standins.gateway.world import GatewayWorld
 
-# The operators' rule: in any window, an upstream may get ``OVERAGE`` times its limit plus
-# ``SLACK`` requests from nodes that know the limit.
+# The operators' bound on the requests in any window: ``OVERAGE`` times the limit, plus ``SLACK``.
 WINDOW_S = 4.0
 OVERAGE, SLACK = 1.5, 5
 # How soon a limit applies at the node that received it, and at all nodes.
