--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -26,7 +26,7 @@
         self._hosts.busy |= taken
         self._tasks.spawn(self._guarded(duty, taken))
 
-    def spawn_question(self, question: Coroutine) -> None:
+    def spawn_probe(self, question: Coroutine) -> None:
         """Ask hosts something, which disturbs no duty."""
         self._tasks.spawn(question)
 
--- a/mulleinreach/gateway/known/upstream_ends.py
+++ b/mulleinreach/gateway/known/upstream_ends.py
@@ -88,12 +88,12 @@
         _drop(self._by_upstream, end.upstream_id, end.content, end)
         _drop(self._by_hall_second, _hall_second(end), end.upstream_id, end)
 
-    def count_begun(self, end: ObservedRun, most: int) -> int:
-        """Return how many requests had begun at an upstream when it ended, ``most`` at most."""
+    def count_begun(self, end: ObservedRun, limit: int) -> int:
+        """Return how many requests had begun at an upstream when it ended, ``limit`` at limit."""
         count = 0
         for other in self._by_upstream.get(end.upstream_id, {}).values():
             count += other.outcome is RunOutcome.ENDED_BEGUN and other.is_simultaneous_with(end)
-            if count >= most:
+            if count >= limit:
                 break
         return count
 
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -119,10 +119,10 @@
         self, changes: list[ListChange], revision: int, current_as_of: float
     ) -> None:
         """Take the coordinator's changes of the list, and its evidence of their age."""
-        own = self._directory.revision
-        if own is None:
+        known_revision = self._directory.revision
+        if known_revision is None:
             return
-        news = [change for change in changes if change.revision > own]
+        news = [change for change in changes if change.revision > known_revision]
         self._detect_outage()
         self._detect_restore(revision)
         for change in news:
@@ -193,14 +193,16 @@
 
     def _detect_restore(self, revision: int) -> None:
         """Doubt the list for a while if the store was restored since this node's revision."""
-        own = self._directory.revision
-        if era_of(revision) <= era_of(own):
+        known_revision = self._directory.revision
+        if era_of(revision) <= era_of(known_revision):
             return
         now = self._clock.now()
         self._untrusted_until = now + self._untrusted_s
         self._keeps_removed_until = max(self._keeps_removed_until, now + RELISTING_GRACE_S)
         self._log.event(
-            "list_restored", revision=format_revision(revision), known=format_revision(own)
+            "list_restored",
+            revision=format_revision(revision),
+            known=format_revision(known_revision),
         )
 
     def _reconcile(self, upstreams: list[Upstream]) -> list[Upstream]:
@@ -243,7 +245,7 @@
             if not has_changes and self._clock.now() - requested_at >= wait_s:
                 # The store would have answered sooner if anything had changed meanwhile.
                 requested_at += wait_s
-            self._take(result, False, requested_at)
+            self._apply_answer(result, False, requested_at)
             return has_changes
         return False
 
@@ -257,7 +259,7 @@
         if isinstance(result, Unavailable):
             self._note_failure(result)
             return False
-        self._take(result, is_full=True, requested_at=requested_at)
+        self._apply_answer(result, is_full=True, requested_at=requested_at)
         return True
 
     @property
@@ -279,23 +281,23 @@
         self._failed_at = self._clock.now()
         self._state.record_failure(failure.reason)
 
-    def _take(self, result: UpstreamsRead, is_full: bool, requested_at: float) -> None:
+    def _apply_answer(self, result: UpstreamsRead, is_full: bool, requested_at: float) -> None:
         self._state.record_answer()
-        own = self._directory.revision
-        if own is not None and result.revision < own:
+        known_revision = self._directory.revision
+        if known_revision is not None and result.revision < known_revision:
             # A wait that began before a newer read; the next one continues from that.
             self._log.event(
                 "answer_put_aside",
                 dependency="upstream_list",
                 why="it is older",
                 revision=format_revision(result.revision),
-                known=format_revision(own),
+                known=format_revision(known_revision),
             )
             return
         self._must_read_all = False
         self.was_read.set()
         self._detect_outage()
-        if own is not None:
+        if known_revision is not None:
             self._detect_restore(result.revision)
         self._log_unusable_rows(result, is_full)
         self.current_as_of = max(self.current_as_of, requested_at)
