--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -135,7 +135,7 @@
     return HostRebalancer(tolerates_hall_loss, hosts, lambda: may_begin, clock, EventLog("test"))
 
 
-def _begun(
+def _domains_with_moves(
     rebalancer: HostRebalancer, views: list[DomainView], demand: dict[str, float]
 ) -> set[str]:
     """Return the domains whose targets differ from what they have."""
@@ -146,13 +146,13 @@
 def test_move_begins_only_after_it_has_been_wanted_for_a_while():
     async def test():
         rebalancer = _rebalancer(VirtualClock())
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
         await asyncio.sleep(MIN_WANTED_S / 2)
-        assert _begun(rebalancer, _domains(), EVEN) == set()
+        assert _domains_with_moves(rebalancer, _domains(), EVEN) == set()
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
 
     run_virtual(test())
 
@@ -161,7 +161,7 @@
     async def test():
         rebalancer = _rebalancer(VirtualClock(), may_begin=False)
         for _ in range(20):
-            assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+            assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
             await asyncio.sleep(MIN_WANTED_S)
 
     run_virtual(test())
@@ -197,7 +197,7 @@
         demand = {LARGE: 120.0, SMALL: 400.0}
         rebalancer.targets(SERVICE, views, demand)
         await asyncio.sleep(MIN_WANTED_S)
-        assert bool(_begun(rebalancer, views, demand)) is tolerates_hall_loss
+        assert bool(_domains_with_moves(rebalancer, views, demand)) is tolerates_hall_loss
 
     run_virtual(test())
 
@@ -207,9 +207,9 @@
         rebalancer = _rebalancer(VirtualClock())
         rebalancer.targets(SERVICE, _domains(), FEW_LARGE_MANY_SMALL)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
         rebalancer.end_term()
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
 
     run_virtual(test())
 
@@ -245,11 +245,11 @@
         rebalancer._moved_at[SMALL] = asyncio.get_running_loop().time()
         rebalancer.targets(SERVICE, views, many_large)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, views, many_large) == set()
+        assert _domains_with_moves(rebalancer, views, many_large) == set()
         await asyncio.sleep(MOVE_COOLDOWN_S)
         rebalancer.targets(SERVICE, views, many_large)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, views, many_large)
+        assert _domains_with_moves(rebalancer, views, many_large)
 
     run_virtual(test())
 
@@ -276,7 +276,7 @@
         views = [lost, *whole[1:]]
         rebalancer.targets(SERVICE, views, small)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, views, small) == {"d0"}
+        assert _domains_with_moves(rebalancer, views, small) == {"d0"}
 
     run_virtual(test())
 
