--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -227,7 +227,7 @@
             )
         self._cold_limit.set_number(report.number, totals.numbers, asked_at)
         if totals.limits is not None:
-            self._permits.limits.take_told(totals.limits, asked_at)
+            self._permits.limits.merge_published(totals.limits, asked_at)
         self._permits.take(report.permits, asked_at, totals.nodes)
         self._crashes.merge_held(totals.held or (), asked_at)
         self._take_heads(totals)
@@ -241,7 +241,7 @@
             for head in self._heads
             if (upstream := self._directory.get(head.upstream_id)) is not None
         ]
-        self._chooser.take_told(opened, frozenset(totals.retiring))
+        self._chooser.set_coordinator_heads(opened, frozenset(totals.retiring))
 
     def _take_lost(self, lost: list[str]) -> None:
         newly_lost = set(lost) - self._eligibility.lost
