--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -111,7 +111,7 @@
                 self._last_model[upstream.id] = upstream.models[0]
             membership = upstream.membership
             if membership is not None and membership.rank == 0:
-                self._heads[upstream.place] = upstream.id
+                self._heads[upstream.group_key] = upstream.id
 
     def _update_cold_deadline(self, upstream: Upstream) -> None:
         """Note until when a host is cold, as its row told when it was new here."""
@@ -394,4 +394,4 @@
 
 def is_member(host: Upstream, group: Group) -> bool:
     """Whether a host says that it is a member of a group."""
-    return host.place == (group.name, group.epoch)
+    return host.group_key == (group.name, group.epoch)
--- a/mulleinreach/gateway/known/cold.py
+++ b/mulleinreach/gateway/known/cold.py
@@ -99,7 +99,8 @@
     Examples
     ========
 
-    >>> limit = ColdRateLimit(DeploymentBounds(cold_ratio=1.0, cold_slack=1.0), Clock(), EventLog("node"))
+    >>> bounds = DeploymentBounds(cold_ratio=1.0, cold_slack=1.0)
+    >>> limit = ColdRateLimit(bounds, Clock(), EventLog("node"))
     >>> limit.allows("u", 3.0)
     False
     """
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -1,4 +1,4 @@
-"""One gateway node: puts the slices together, runs their tasks and stops as planned."""
+"""One gateway node: creates its components, runs their tasks and stops gracefully."""
 
 from __future__ import annotations
 
@@ -56,21 +56,25 @@
 from mulleinreach.gateway.upstream import Notice, Upstream
 
 CONNECT_TIMEOUT_S = 0.35
-# Callers' connections are closed earlier, after the idle time of the configuration.
+# An upper bound only: callers' connections are closed after the configured idle timeout.
 CALLERS_IDLE_TIMEOUT_S = 3600.0
 UPSTREAM_LIST_READ_DELAY_S = 0.03
+# The time left before SIGKILL for closing connections and tasks.
 ABORT_MARGIN_S = 1.0
+# How long a load balancer may keep opening connections after the node reports not ready.
 BALANCER_DRAIN_S = 2.9
 STOP_POLL_INTERVAL_S = 0.05
 
 
 class GatewayNode:
-    """A whole node, on the ports that an adapter gives it.
+    """A gateway node that reaches its platform through the ports of an adapter.
 
     Parameters
     ==========
 
-    callers_socket : listens on the callers' address already; ``None`` if nothing does.
+    seed : of the node's random numbers; ``None`` for a random seed.
+    callers_socket : a socket that already listens on the callers' address; ``None`` to open
+        one.
     """
 
     def __init__(
@@ -112,12 +116,12 @@
         self.notices = NoticeTracker(
             self.directory, self.clock, self.log, self._on_upstreams_changed
         )
-        self.ports.orders.listen(self._on_notice)
+        self.ports.orders.subscribe(self._on_notice)
         self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_content_held)
         schedule = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
-        # The answer to the first question tells whether the second is worth asking.
+        # The configuration is read first; its result shows whether the store answers at all.
         list_schedule = replace(schedule, extra_s=schedule.extra_s + UPSTREAM_LIST_READ_DELAY_S)
         evacuations = Evacuations(
             self.bounds.evacuation_s, self.identity.regions, self.clock, self.log
@@ -202,7 +206,7 @@
         self.lease = CoordinatorLease(
             CountedLease(self.ports.lease, self.store_calls),
             holder,
-            str(self.identity.peers),
+            str(self.identity.peers_address),
             self.clock,
             self.log,
             self.identity.is_first_start,
@@ -257,33 +261,35 @@
         )
 
     async def start(self) -> None:
-        """Listen, then begin all tasks."""
+        """Open all listening sockets, then start all tasks."""
         await self.coordination.listen()
         callers = await self._serve(
             self.relay.handle,
-            self.identity.callers,
+            self.identity.callers_address,
             CALLERS_IDLE_TIMEOUT_S,
             self._callers_socket,
         )
-        await self._serve(self._handle_readiness, self.identity.readiness)
-        if self.identity.metrics is not None:
-            await self._serve(self._handle_metrics, self.identity.metrics)
+        await self._serve(self._handle_readiness, self.identity.readiness_address)
+        if self.identity.metrics_address is not None:
+            await self._serve(self._handle_metrics, self.identity.metrics_address)
         self._tasks.spawn(self.relay.connections.watch(callers, self._idle_timeout_s))
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
-        self._tasks.spawn(self.store_calls.log_counts())
+        self._tasks.spawn(self.store_calls.tell())
         self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
-        self.log.event("node_started", callers=self.identity.callers, hall=self.identity.hall)
+        self.log.event(
+            "node_started", callers=self.identity.callers_address, hall=self.identity.hall
+        )
 
     async def _serve(
         self,
         handler,
         address: Address,
         idle_timeout_s: float = IDLE_TIMEOUT_S,
-        listening: socket.socket | None = None,
+        listening_socket: socket.socket | None = None,
     ) -> web.Server:
-        server, listener = await serve(handler, address, idle_timeout_s, listening)
+        server, listener = await serve(handler, address, idle_timeout_s, listening_socket)
         self._servers.append((server, listener))
         return server
 
@@ -292,7 +298,7 @@
         limits = configuration.limits if configuration else RequestLimits()
         return limits.idle_timeout_s
 
-    # What the slices ask and tell.
+    # Callbacks of the components.
 
     def _store_pause_s(self, failures: int) -> float:
         if self.coordination.is_hub:
@@ -316,8 +322,8 @@
 
     def _report_lag_s(self, service: str) -> float:
         configuration = self.in_force.configuration
-        known = configuration.services.get(service) if configuration else None
-        return known.engine.report_lag_s if known and known.engine else 0.0
+        configured = configuration.services.get(service) if configuration else None
+        return configured.engine.report_lag_s if configured and configured.engine else 0.0
 
     def _node_count(self) -> int:
         return self.coordination.node_count
@@ -344,7 +350,7 @@
     # Readiness and metrics.
 
     def is_ready(self) -> bool:
-        """Whether new connections should come to this node."""
+        """Whether this node should get new connections."""
         return not self.is_stopping and self.in_force.configuration is not None
 
     async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
@@ -357,7 +363,7 @@
         self.metrics.set_groups(self.directory.group_states())
         self.metrics.holds_lease.set(self.lease.is_held())
         self.metrics.evidence_age.set(self.in_force.evidence_age_s())
-        self.metrics.open_groups.set(len(self.chooser.opened()))
+        self.metrics.open_groups.set(len(self.chooser.coordinator_heads()))
         self.metrics.halls_down.set(len(self.hosts.down_halls))
         configuration = self.in_force.configuration
         services = configuration.services.values() if configuration else ()
@@ -370,10 +376,10 @@
         body = generate_latest(self.metrics.registry)
         return web.Response(body=body, headers={"Content-Type": CONTENT_TYPE_LATEST})
 
-    # Ending.
+    # Stopping.
 
     async def stop(self) -> None:
-        """Stop as planned: not ready at once, hand duties over, finish what is in flight."""
+        """Stop gracefully: report not ready, hand over duties, finish requests in flight."""
         started_at = self.clock.now()
         self.is_stopping = self.relay.is_stopping = True
         self.coordination.begin_stopping()
@@ -381,19 +387,18 @@
         abort_at = started_at + self.bounds.stop_grace_s - ABORT_MARGIN_S
         drained_at = min(started_at + BALANCER_DRAIN_S, abort_at)
         await asyncio.sleep(drained_at - started_at)
-        # By now the balancer sends no new connections. A request that came later, over
-        # a kept one, might not end in time, so connections are closed: at once where
-        # they rest, else after the answer that is under way.
+        # The load balancer opens no new connections by now. Requests on existing ones might
+        # not finish in time, so idle connections are closed now, others after their answer.
         for server, listener in self._servers:
             listener.close()
             self.relay.connections.close_all(server.connections)
         while self.relay.in_flight and self.clock.now() < abort_at:
             await asyncio.sleep(STOP_POLL_INTERVAL_S)
-        await self.kill()
+        await self.abort()
         self.log.event("node_stopped", in_flight=self.relay.in_flight)
 
-    async def kill(self) -> None:
-        """End everything at once."""
+    async def abort(self) -> None:
+        """Cancel all tasks and close all connections immediately."""
         await self._tasks.close()
         await self.coordination.close()
         for server, listener in self._servers:
--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -80,7 +80,7 @@
         if route is None:
             return self._deny(404, "no route")
         if route.is_public or not configuration.needs_keys:
-            return Admitted(configuration, route, None, route.priority, route.homes)
+            return Admitted(configuration, route, None, route.priority, route.allowed_regions)
         return self._check_key(configuration, route, headers)
 
     def _check_key(
@@ -94,7 +94,7 @@
             return self._deny(401, "unknown key")
         own_priority = organisation.priority
         priority = route.priority if own_priority is None else own_priority
-        homes = common_homes(route.homes, organisation.homes)
+        homes = common_homes(route.allowed_regions, organisation.allowed_regions)
         return Admitted(configuration, route, organisation.name, priority, homes)
 
     def _key_evidence_age_s(self) -> float:
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""A planned stop finishes what runs and takes nothing that it can not finish."""
+"""Guards against requests that a graceful stop aborts or accepts too late."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 def test_planned_stop_finishes_what_runs():
     async def test(world):
         await world.until_formed()
-        asking = asyncio.create_task(world.stream(60, node="node-0"))
+        request = asyncio.create_task(world.stream(60, node="node-0"))
         await asyncio.sleep(0.3)
         node = world.nodes["node-0"]
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(0.1)
         assert not node.is_ready()
-        answer = await asking
+        answer = await request
         assert len(answer.event_ids) == 60
         await stopping
 
@@ -32,13 +32,13 @@
 
 
 async def answer_slowly(request):
-    """Answer soundly after most of a second."""
+    """Answer correctly after a delay."""
     await asyncio.sleep(0.8)
     return await echo_path(request)
 
 
 @pytest.mark.parametrize("after_s", [0.0, 3.0, 3.19, 3.22, 3.3])
-def test_planned_stop_cuts_no_request_that_it_has_taken(after_s):
+def test_planned_stop_aborts_no_accepted_request(after_s):
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
@@ -49,14 +49,14 @@
             answer = await world.call("/order/1", b"2 tins")
             assert answer.status == 200
         except aiohttp.ClientConnectionError:
-            # Not taken any more, so it may be sent to another node.
+            # The node didn't accept the request, so the caller can retry at another one.
             assert world.plain["desk-0"].seen == []
         await stopping
 
     run_world(test, **NO_HOSTS)
 
 
-def test_planned_stop_takes_nothing_new_although_callers_go_on():
+def test_planned_stop_accepts_no_new_requests_under_continuous_load():
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         stopping = asyncio.create_task(world.nodes["node-0"].stop())
@@ -74,19 +74,19 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_planned_stop_closes_connections_at_rest():
+def test_planned_stop_closes_idle_connections():
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
-        reader, writer = await node.network.connect(node.identity.callers)
-        running = asyncio.create_task(world.call("/order/1", b"2 tins"))
+        reader, writer = await node.network.connect(node.identity.callers_address)
+        first = asyncio.create_task(world.call("/order/1", b"2 tins"))
         stopping = asyncio.create_task(node.stop())
-        await running
-        later = asyncio.create_task(_call_after(world, 2.5))
+        await first
+        second = asyncio.create_task(_call_after(world, 2.5))
         await asyncio.sleep(2.2)
         assert await reader.read() == b""
         writer.close()
-        assert (await later).status == 200
+        assert (await second).status == 200
         await stopping
 
     run_world(test, **NO_HOSTS)
@@ -98,7 +98,7 @@
 
 
 async def _finish_slowly():
-    """Take a while to end, as tasks do on a busy node."""
+    """Delay its cancellation, like a task on an overloaded node."""
     try:
         await asyncio.sleep(3600)
     finally:
--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -46,7 +46,7 @@
         is_public=bool(raw.get("public", False)),
         is_resumable=bool(raw.get("resumable", False)),
         gap_objective_s=float(raw.get("gap_target_ms", 1000)) / 1000,
-        homes=_parse_homes(raw),
+        allowed_regions=_parse_homes(raw),
     )
 
 
@@ -109,5 +109,5 @@
         name=str(raw["name"]),
         api_keys=frozenset(str(key) for key in raw.get("api_keys", [])),
         priority=None if priority is None else int(priority),
-        homes=_parse_homes(raw),
+        allowed_regions=_parse_homes(raw),
     )
--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -51,7 +51,7 @@
     ========
 
     >>> decode_row({"tls_key": "k", "ver": 3, "value": "e30="})
-    StoreRow(key='k', version=3, value={}, is_removed=False, unreadable='')
+    StoreRow(key='k', version=3, value={}, is_removed=False, unreadable_reason='')
     """
     key, version = str(raw["tls_key"]), make_revision(era, int(raw["ver"]))
     if raw.get("deleted"):
