--- a/mulleinreach/groups/repair.py
+++ b/mulleinreach/groups/repair.py
@@ -33,9 +33,9 @@
 
 MIN_ABSENCE_S = 10.0
 MAX_ABSENCE_S = 3600.0
-PAUSE_S = 40.0
-PRIORITY_STEP = 4.0
-STORE_SHARE_S = 5.0
+MAX_PAUSE_S = 40.0
+PRIORITY_COST_FACTOR = 4.0
+LOAD_PENALTY_HOST_S = 5.0
 
 
 class RepairKind(enum.StrEnum):
@@ -49,24 +49,24 @@
 
 
 @dataclass(frozen=True)
-class LoadModel:
-    """How long loads take: the weight store serves ``streams`` hosts at once."""
+class LoadTimeModel:
+    """How long loads take: the weight store serves ``parallel_loads`` hosts at once."""
 
     host_load_s: float
-    streams: int
+    parallel_loads: int
 
-    def seconds(self, hosts: int, busy: int = 0) -> float:
+    def load_seconds(self, hosts: int, busy: int = 0) -> float:
         """Return when ``hosts`` more hosts have loaded, behind ``busy`` others.
 
         Examples
         ========
 
-        >>> LoadModel(60.0, 4).seconds(4, busy=2)
+        >>> LoadTimeModel(60.0, 4).load_seconds(4, busy=2)
         120.0
         """
         if hosts == 0:
             return 0.0
-        return math.ceil((busy + hosts) / self.streams) * self.host_load_s
+        return math.ceil((busy + hosts) / self.parallel_loads) * self.host_load_s
 
 
 @dataclass(frozen=True)
@@ -126,10 +126,12 @@
 class RepairPlanner:
     """Weighs the ways to bring one replica back."""
 
-    def __init__(self, loads: LoadModel):
+    def __init__(self, loads: LoadTimeModel):
         self._loads = loads
 
-    def weigh_group(self, view: FleetView, group: GroupRecord, busy: int) -> list[RepairOption]:
+    def options_for_group(
+        self, view: FleetView, group: GroupRecord, busy: int
+    ) -> list[RepairOption]:
         """Return the options for a broken group, the cheapest first.
 
         Parameters
@@ -149,7 +151,7 @@
                 options.append(option)
         return sorted(options, key=lambda o: (o.cost, o.kind, o.domain))
 
-    def weigh_missing(
+    def options_for_missing_replica(
         self, view: FleetView, service: ServiceIntent, busy: int
     ) -> list[RepairOption]:
         """Return the options for a replica that isn't formed, the cheapest first."""
@@ -207,9 +209,11 @@
 
     def _wait(self, view, service, group, lost, busy) -> RepairOption:
         absence = self._absence(view, lost)
-        load = self._loads.seconds(len(lost), busy)
+        load = self._loads.load_seconds(len(lost), busy)
         is_maybe_pause = all(
-            view.hosts[n].lost and view.hosts[n].absent_s < PAUSE_S for n in lost if n in view.hosts
+            view.hosts[n].lost and view.hosts[n].absent_s < MAX_PAUSE_S
+            for n in lost
+            if n in view.hosts
         )
         down = absence + (load / 2 if is_maybe_pause else load)
         idle = len(group.hosts) - len(lost)
@@ -254,9 +258,9 @@
         in_place = group is not None and group.domain == domain
         lost = view.lost_members(group) if group else []
         kept = len([n for n in group.hosts if n not in lost]) if in_place else 0
-        down = self._loads.seconds(len(hosts) - kept, busy)
+        down = self._loads.load_seconds(len(hosts) - kept, busy)
         # Each load takes the store from others that may need it.
-        idle = len(hosts) * down + STORE_SHARE_S * (len(hosts) - kept)
+        idle = len(hosts) * down + LOAD_PENALTY_HOST_S * (len(hosts) - kept)
         if group is not None and not in_place:
             # The survivors are freed; they idle until something is made of them.
             idle += max(0, len(group.hosts) - len(lost) - len(hosts)) * down
@@ -301,18 +305,20 @@
 
     def _weigh_victim(self, view, service, group: GroupRecord, busy: int) -> Victim | None:
         owner = view.config.intent.service(group.service)
-        if owner is None or group.replica in view.taken:
+        if owner is None or group.replica in view.reserved_names:
             return None
         lost = view.lost_members(group)
         hosts = tuple(n for n in group.hosts if not self._is_gone(view, n))
-        reload_s = self._loads.seconds(len(group.hosts), busy)
+        reload_s = self._loads.load_seconds(len(group.hosts), busy)
         if self._fits_elsewhere(view, owner, group.domain):
             down = reload_s
         else:
             down = reload_s + self._shortest_absence(view)
         if lost:
             # It is down already: it loses only what its own wait is shorter by.
-            down = max(0.0, down - self._absence(view, lost) - self._loads.seconds(len(lost), busy))
+            down = max(
+                0.0, down - self._absence(view, lost) - self._loads.load_seconds(len(lost), busy)
+            )
         idle = max(0, len(hosts) - len(lost)) * min(down, reload_s)
         weights = view.config.intent.measures
         cost = down * downtime_weight(weights, owner) + idle * weights.stranded_accelerators
@@ -327,7 +333,7 @@
 
 def downtime_weight(weights: MeasureWeights, service: ServiceIntent) -> float:
     """Return the cost of a replica-second down; higher priorities weigh more."""
-    return weights.group_downtime * PRIORITY_STEP ** (1 - service.priority)
+    return weights.group_downtime * PRIORITY_COST_FACTOR ** (1 - service.priority)
 
 
 def loading_hosts(view: FleetView) -> int:
