--- a/mulleinreach/gateway/fleet/allocation.py
+++ b/mulleinreach/gateway/fleet/allocation.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Work:
+class Workload:
     """The work of a service's models.
 
     Parameters
@@ -66,8 +66,8 @@
         Examples
         ========
 
-        >>> work = Work(24, {}, hall_groups={"wide": 4, "narrow": 1})
-        >>> work.reserve("wide"), work.reserve("narrow"), Work(24, {}).reserve("wide")
+        >>> work = Workload(24, {}, hall_groups={"wide": 4, "narrow": 1})
+        >>> work.reserve("wide"), work.reserve("narrow"), Workload(24, {}).reserve("wide")
         (4, 2, 2)
         """
         return max(RESERVE, self.hall_groups.get(model, 0))
@@ -78,7 +78,7 @@
         Examples
         ========
 
-        >>> work = Work(24, {"wide": 24, "narrow": 192})
+        >>> work = Workload(24, {"wide": 24, "narrow": 192})
         >>> work.crowding("wide", 4), work.crowding("narrow", 10)
         (0.5, 1.0)
         """
@@ -146,7 +146,9 @@
     return halls
 
 
-def crowded_models(views: list[DomainView], work: Work, before: frozenset[str]) -> frozenset[str]:
+def crowded_models(
+    views: list[DomainView], work: Workload, before: frozenset[str]
+) -> frozenset[str]:
     """Return the models that are crowded now.
 
     Parameters
@@ -158,9 +160,9 @@
     ========
 
     >>> views = [DomainView("d", 8, {"a": 1, "b": 2}, {}, ())]
-    >>> sorted(crowded_models(views, Work(10, {"a": 5, "b": 13}), frozenset()))
+    >>> sorted(crowded_models(views, Workload(10, {"a": 5, "b": 13}), frozenset()))
     ['b']
-    >>> sorted(crowded_models(views, Work(10, {"a": 5, "b": 8}), frozenset("ab")))
+    >>> sorted(crowded_models(views, Workload(10, {"a": 5, "b": 8}), frozenset("ab")))
     ['a']
     """
     totals = total_groups(views)
@@ -173,7 +175,7 @@
 
 
 def allocate(
-    views: list[DomainView], engine: EngineProfile, work: Work
+    views: list[DomainView], engine: EngineProfile, work: Workload
 ) -> dict[str, dict[str, int]]:
     """Return how many groups of each model each domain should have.
 
@@ -184,9 +186,9 @@
     >>> engine = EngineProfile(models, slots=10)
     >>> views = [DomainView(name, 8, {"a": 1, "b": 1}, {}, ()) for name in ("e", "f", "g")]
     >>> views.append(DomainView("d", 8, {"b": 1}, {}, ()))
-    >>> allocate(views, engine, Work(10, {"a": 2, "b": 4}))["d"]
+    >>> allocate(views, engine, Workload(10, {"a": 2, "b": 4}))["d"]
     {'a': 1, 'b': 1}
-    >>> allocate(views, engine, Work(10, {"a": 2, "b": 25}, frozenset("b")))["d"]
+    >>> allocate(views, engine, Workload(10, {"a": 2, "b": 25}, frozenset("b")))["d"]
     {'a': 0, 'b': 3}
     """
     totals = total_groups(views)
@@ -206,7 +208,7 @@
     views: list[DomainView],
     targets: dict[str, dict[str, int]],
     engine: EngineProfile,
-    work: Work,
+    work: Workload,
     totals: Counter[str],
 ) -> Iterator[tuple[tuple[int, float], str, str]]:
     """Yield what each further group that fits in a domain would bring.
@@ -224,7 +226,7 @@
                 yield (lacking, gain / model.size), view.name, model.name
 
 
-def _kept(own: dict[str, int], work: Work, model: EngineModel, count: int) -> int:
+def _kept(own: dict[str, int], work: Workload, model: EngineModel, count: int) -> int:
     """Return how many hosts of a domain a further group of a model leaves for standbys."""
     if own[model.name] == 0 or work.usage(model.name, count) > FULL_USAGE:
         return 0
@@ -235,7 +237,7 @@
     views: list[DomainView],
     resting: list[DomainView],
     engine: EngineProfile,
-    work: Work,
+    work: Workload,
     staying: Collection[str] = (),
 ) -> Move | None:
     """Return the move that lowers the cost most, if one is worth it.
@@ -256,10 +258,10 @@
     >>> views = [
     ...     DomainView(f"d{n}", 8, {"a": 1, "b": 1}, {}, (), {}, serving=(group,)) for n in range(6)
     ... ]
-    >>> move = next_move(views, views, engine, Work(10, {"a": 10, "b": 40}, frozenset("b")))
+    >>> move = next_move(views, views, engine, Workload(10, {"a": 10, "b": 40}, frozenset("b")))
     >>> move.from_model, move.to_model, move.count, move.is_ready
     ('a', 'b', 2, False)
-    >>> next_move(views, views, engine, Work(10, {"a": 10, "b": 20})) is None
+    >>> next_move(views, views, engine, Workload(10, {"a": 10, "b": 20})) is None
     True
     """
     totals = total_groups(views)
@@ -282,12 +284,12 @@
     return None if best is None else best[1]
 
 
-def _cost(work: Work, engine: EngineProfile, totals: Counter[str]) -> float:
+def _cost(work: Workload, engine: EngineProfile, totals: Counter[str]) -> float:
     return sum(work.cost(model.name, totals[model.name]) for model in engine.models)
 
 
 def _moves_in(
-    view: DomainView, engine: EngineProfile, work: Work, totals: Counter[str]
+    view: DomainView, engine: EngineProfile, work: Workload, totals: Counter[str]
 ) -> Iterator[Move]:
     """Yield the smallest moves in one domain that help a crowded model."""
     for to in engine.models:
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -20,12 +20,12 @@
 from mulleinreach.gateway.coordination.reports import (
     OpenHead,
 )
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.halls import HallWatch
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.halls import HallMonitor
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.placement import Placement
-from mulleinreach.gateway.fleet.watch import GroupWatch
+from mulleinreach.gateway.fleet.watch import GroupMonitor
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head, collect_groups, open_heads
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class FleetView:
+class FleetStatus:
     """What the coordinator tells of its fleet.
 
     Parameters
@@ -71,7 +71,7 @@
         self,
         hall: str,
         spares_hall: bool,
-        hosts: HostBook,
+        hosts: HostRegistry,
         operator: GroupOperator,
         in_force: ConfigurationInForce,
         loads: Callable[[], list[LoadReport]],
@@ -88,7 +88,7 @@
         self._loads = loads
         self._is_first_holder = is_first_holder
         self._read_anew = read_anew
-        self._duties = HostDuties(hosts, log)
+        self._duties = HostTasks(hosts, log)
         self._placement = Placement(
             spares_hall,
             hosts,
@@ -98,8 +98,10 @@
             clock,
             log,
         )
-        self._halls = HallWatch(hall, hosts, operator, self._duties, nodes, clock, log)
-        self._watch = GroupWatch(hosts, operator, self._placement, self._duties, loads, clock, log)
+        self._halls = HallMonitor(hall, hosts, operator, self._duties, nodes, clock, log)
+        self._watch = GroupMonitor(
+            hosts, operator, self._placement, self._duties, loads, clock, log
+        )
 
     def notify(self) -> None:
         """The list of hosts has changed."""
@@ -143,7 +145,7 @@
             for head in open_heads(self._hosts.listed(service.name))
         ]
 
-    def describe(self) -> FleetView:
+    def describe(self) -> FleetStatus:
         """Return what all nodes should know of groups and hosts."""
         retiring = self._hosts.retiring_heads()
         heads = []
@@ -153,7 +155,7 @@
                     continue
                 pace = self._watch.pace((head.group, head.epoch))
                 heads.append(OpenHead(head.upstream.id, head.group, head.epoch, head.model, pace))
-        return FleetView(heads, self._hosts.lost(), retiring)
+        return FleetStatus(heads, self._hosts.lost(), retiring)
 
     def _look_at(self, service: Service) -> None:
         self._hosts.refresh(service.name)
--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -7,14 +7,14 @@
 
 from mulleinreach.common import EventLog, TaskGroup
 from mulleinreach.gateway.fleet.formation import LeaseLost
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.upstream import Upstream
 
 
-class HostDuties:
+class HostTasks:
     """The duties under way; ``wake`` is set when one has ended or the list has changed."""
 
-    def __init__(self, hosts: HostBook, log: EventLog):
+    def __init__(self, hosts: HostRegistry, log: EventLog):
         self._hosts = hosts
         self._log = log
         self._tasks = TaskGroup()
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -19,7 +19,7 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import (
@@ -77,7 +77,7 @@
         self,
         orders: EngineOrders,
         lease: CoordinatorLease,
-        hosts: HostBook,
+        hosts: HostRegistry,
         report_lag_s: Callable[[str], float],
         is_resting: Callable[[str], bool],
         metrics: GatewayMetrics,
@@ -130,7 +130,7 @@
     def _lag_s(self, host: Upstream) -> float:
         return self._report_lag_s(host.service) + REPORT_LAG_MARGIN_S
 
-    # Forming.
+    # PendingFormation.
 
     async def join_all(
         self, model: str, members: list[Upstream], patience_s: float
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -24,9 +24,9 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.hub import HeardNode
 from mulleinreach.gateway.coordination.totals import sum_loads
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.ports import Unavailable
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class HallSigns:
+class HallHealth:
     """What tells whether a hall is alive.
 
     Parameters
@@ -83,15 +83,15 @@
         Examples
         ========
 
-        >>> HallSigns("a", 6, 0, 2, 0, 3, 0.7).has_failed()
+        >>> HallHealth("a", 6, 0, 2, 0, 3, 0.7).has_failed()
         True
-        >>> HallSigns("a", 6, 1, 3, 0, 3, 0.7).has_failed()
+        >>> HallHealth("a", 6, 1, 3, 0, 3, 0.7).has_failed()
         False
-        >>> HallSigns("a", 6, 0, 2, 0, 3, 0.1).has_failed()
+        >>> HallHealth("a", 6, 0, 2, 0, 3, 0.1).has_failed()
         False
-        >>> HallSigns("a", 6, 0, 3, 2, 0, float("inf")).has_failed()
+        >>> HallHealth("a", 6, 0, 3, 2, 0, float("inf")).has_failed()
         False
-        >>> HallSigns("a", 6, 0, 3, 3, 0, float("inf")).has_failed()
+        >>> HallHealth("a", 6, 0, 3, 3, 0, float("inf")).has_failed()
         True
         """
         least = min(LEAST_HEADS, self.heads)
@@ -104,7 +104,7 @@
 
 
 @dataclass
-class _DownHall:
+class _FailedHall:
     """A hall that has failed, and the rows of its upstreams as they stood last."""
 
     found_at: float
@@ -114,8 +114,8 @@
     asked: int = 0
 
 
-class HallWatch:
-    """Looks at all halls, and tells :class:`HostBook` which ones are down.
+class HallMonitor:
+    """Looks at all halls, and tells :class:`HostRegistry` which ones are down.
 
     Parameters
     ==========
@@ -127,9 +127,9 @@
     def __init__(
         self,
         own_hall: str,
-        hosts: HostBook,
+        hosts: HostRegistry,
         operator: GroupOperator,
-        duties: HostDuties,
+        duties: HostTasks,
         nodes: Callable[[], list[HeardNode]],
         clock: Clock,
         log: EventLog,
@@ -142,7 +142,7 @@
         self._clock = clock
         self._log = log
         self._looked_at = NEVER
-        self._down: dict[str, _DownHall] = {}
+        self._down: dict[str, _FailedHall] = {}
 
     def look(self, heads: Iterable[Head]) -> None:
         """Decide which halls are down.
@@ -164,7 +164,7 @@
             for signs in failed_halls(self._signs(up, nodes), self._own_hall):
                 self._begin(signs)
 
-    def _signs(self, heads: list[Head], nodes: list[HeardNode]) -> list[HallSigns]:
+    def _signs(self, heads: list[Head], nodes: list[HeardNode]) -> list[HallHealth]:
         """Return the signs of all halls with open groups.
 
         What a silent node told last would show progress that there is no more.
@@ -173,13 +173,13 @@
         loads = {load.upstream_id: load for load in sum_loads(heard)}
         lost = {h.upstream.id for h in heads if self._hosts.is_lost(h.upstream.id)}
         return [
-            hall_signs(hall, [h for h in heads if h.upstream.hall == hall], loads, lost, nodes)
+            assess_hall(hall, [h for h in heads if h.upstream.hall == hall], loads, lost, nodes)
             for hall in sorted({h.upstream.hall for h in heads})
         ]
 
-    def _begin(self, signs: HallSigns) -> None:
+    def _begin(self, signs: HallHealth) -> None:
         now = self._clock.now()
-        self._down[signs.hall] = _DownHall(now, self._hosts.rows_of_hall(signs.hall))
+        self._down[signs.hall] = _FailedHall(now, self._hosts.rows_of_hall(signs.hall))
         self._hosts.mark_hall_down(signs.hall)
         self._log.event(
             "hall_down",
@@ -192,7 +192,7 @@
             upstreams=len(self._down[signs.hall].rows),
         )
 
-    def _look_whether_back(self, hall: str, down: _DownHall, nodes: list[HeardNode]) -> None:
+    def _look_whether_back(self, hall: str, down: _FailedHall, nodes: list[HeardNode]) -> None:
         now = self._clock.now()
         reported = [n for n in nodes if n.report.hall == hall and now - n.silent_s > down.found_at]
         if reported:
@@ -206,14 +206,14 @@
             for host in self._next_asked(down):
                 self._duties.spawn_question(self._ask(hall, host))
 
-    def _changed(self, hall: str, down: _DownHall) -> bool:
+    def _changed(self, hall: str, down: _FailedHall) -> bool:
         """Whether a row there has changed or come; one that goes has merely lapsed."""
         rows = self._hosts.rows_of_hall(hall)
         if self._clock.now() - down.found_at < ROWS_LATE_S:
             down.rows = rows
         return any(down.rows.get(host) != upstream for host, upstream in rows.items())
 
-    def _next_asked(self, down: _DownHall) -> list[Upstream]:
+    def _next_asked(self, down: _FailedHall) -> list[Upstream]:
         """Return the hosts to be asked next, each in its turn, and far from each other."""
         hosts = [upstream for upstream in down.rows.values() if upstream.domain is not None]
         hosts.sort(key=lambda host: (host.domain, host.id))
@@ -245,13 +245,13 @@
             self._end(hall, "the duty ends")
 
 
-def hall_signs(
+def assess_hall(
     hall: str,
     heads: list[Head],
     loads: dict[str, LoadReport],
     lost: set[str],
     nodes: list[HeardNode],
-) -> HallSigns:
+) -> HallHealth:
     """Return what tells whether a hall is alive.
 
     Parameters
@@ -263,7 +263,7 @@
     """
     there = [node.silent_s for node in nodes if node.report.hall == hall]
     still = [_still_for_s(h.upstream.id, loads, lost) for h in heads]
-    return HallSigns(
+    return HallHealth(
         hall,
         len(heads),
         sum(_is_moving(h.upstream.id, loads) for h in heads),
@@ -287,14 +287,14 @@
     return load is not None and load.silent_s < HEADS_STILL_S
 
 
-def failed_halls(signs: list[HallSigns], own_hall: str) -> list[HallSigns]:
+def failed_halls(signs: list[HallHealth], own_hall: str) -> list[HallHealth]:
     """Return the halls that have failed, if a third one shows that others haven't.
 
     Examples
     ========
 
-    >>> failed = HallSigns("a", 4, 0, 4, 0, 3, 0.7)
-    >>> own, third = HallSigns("b", 4, 4, 0, 0, 3, 0.0), HallSigns("c", 4, 4, 0, 0, 3, 0.1)
+    >>> failed = HallHealth("a", 4, 0, 4, 0, 3, 0.7)
+    >>> own, third = HallHealth("b", 4, 4, 0, 0, 3, 0.0), HallHealth("c", 4, 4, 0, 0, 3, 0.1)
     >>> [signs.hall for signs in failed_halls([failed, own, third], "b")]
     ['a']
     >>> failed_halls([failed, own], "b")
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class LeftGroup:
+class GroupDeparture:
     """A group, by name and epoch, that a host was told to leave and took the order.
 
     A host that stands in another group takes such an order too, and stays there.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Forming:
+class PendingFormation:
     """A group, or a standby on its own, that is being formed."""
 
     domain: str
@@ -66,7 +66,7 @@
     is_group: bool
 
 
-class HostBook:
+class HostRegistry:
     """Hosts by id: the list, what hosts reported themselves, and what was found out.
 
     Explanation
@@ -86,14 +86,14 @@
         self._paces: dict[str, tuple[float, float]] = {}
         self._cold_until: dict[str, float] = {}
         self._delisted_at: dict[str, float] = {}
-        self._left: dict[str, LeftGroup] = {}
+        self._left: dict[str, GroupDeparture] = {}
         self._heads: dict[tuple[str, int], str] = {}
         self._ended: dict[tuple[str, int], EndedGroup] = {}
         self._missing_since: dict[tuple[str, str], list[float]] = {}
         self._retiring: dict[tuple[str, int], RetiringGroup] = {}
         self._numbers = itertools.count()
         self._settled_at = NEVER
-        self.forming: dict[int, Forming] = {}
+        self.forming: dict[int, PendingFormation] = {}
         self.busy: set[str] = set()
         # Halls of which nothing answers.
         self.down_halls: set[str] = set()
@@ -138,7 +138,7 @@
     def note_left(self, host: str, group: Group) -> None:
         """Note that a host took our order to leave a group, ahead of its row."""
         now = self._clock.now()
-        self._left[host] = LeftGroup((group.name, group.epoch), now)
+        self._left[host] = GroupDeparture((group.name, group.epoch), now)
         known = self._directory.get(host)
         if known is not None and stands_in(known, group):
             self._directory.put_report(replace(known, models=(), membership=None), now)
@@ -271,7 +271,7 @@
     def begin_forming(self, domain: str, model: str, is_group: bool) -> int:
         """Note that a group is being formed; returns its number."""
         number = next(self._numbers)
-        self.forming[number] = Forming(domain, model, is_group)
+        self.forming[number] = PendingFormation(domain, model, is_group)
         return number
 
     def end_forming(self, number: int) -> None:
--- a/mulleinreach/gateway/fleet/loads.py
+++ b/mulleinreach/gateway/fleet/loads.py
@@ -14,7 +14,7 @@
 STAGING_SHARE = 0.5
 
 
-class LoadGate:
+class WeightLoadLimiter:
     """Counts the loads that run and those that began lately.
 
     Before the first request of a deployment loads are quick and not limited;
--- a/mulleinreach/gateway/fleet/moving.py
+++ b/mulleinreach/gateway/fleet/moving.py
@@ -18,13 +18,13 @@
 from mulleinreach.gateway.fleet.allocation import (
     MOVES_AT_ONCE,
     Move,
-    Work,
+    Workload,
     allocate,
     crowded_models,
     groups_in_fullest_hall,
     next_move,
 )
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.planner import DomainView, plan_groups
 from mulleinreach.gateway.model import EngineProfile, Service
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class _Underway:
+class _PendingMove:
     """A move that was begun, and until when it is waited for."""
 
     move: Move
@@ -52,7 +52,7 @@
         return view.groups.get(self.move.to_model, 0) >= self.move.count
 
 
-class GroupMover:
+class HostRebalancer:
     """Decides how many groups each domain should have, and begins moves where they pay.
 
     Parameters
@@ -66,7 +66,7 @@
     def __init__(
         self,
         spares_hall: bool,
-        hosts: HostBook,
+        hosts: HostRegistry,
         may_begin: Callable[[], bool],
         clock: Clock,
         log: EventLog,
@@ -76,7 +76,7 @@
         self._may_begin = may_begin
         self._clock = clock
         self._log = log
-        self._underway: dict[str, _Underway] = {}
+        self._underway: dict[str, _PendingMove] = {}
         self._crowded: frozenset[str] = frozenset()
         self._wanted_since: dict[str, float] = {}
         self._moved_at: dict[str, float] = {}
@@ -112,10 +112,10 @@
 
     def _work(
         self, engine: EngineProfile, counted: list[DomainView], places: dict[str, float]
-    ) -> Work:
+    ) -> Workload:
         """Return what the models have to bear, with a hall in reserve where one may be lost."""
         hall_groups = groups_in_fullest_hall(counted) if self._spares_hall else {}
-        return Work(engine.slots, places, self._crowded, hall_groups)
+        return Workload(engine.slots, places, self._crowded, hall_groups)
 
     def end_term(self) -> None:
         """Forget moves under way, whose groups serve on."""
@@ -127,7 +127,7 @@
         counted: list[DomainView],
         targets: dict[str, dict[str, int]],
         engine: EngineProfile,
-        work: Work,
+        work: Workload,
     ) -> Move | None:
         """Return a move that can begin at once and has been wanted for long enough."""
         now = self._clock.now()
@@ -168,7 +168,7 @@
         return replace(view, groups=groups, serving=serving)
 
     def _begin(self, move: Move) -> None:
-        self._underway[move.domain] = _Underway(move, self._clock.now() + MOVE_S)
+        self._underway[move.domain] = _PendingMove(move, self._clock.now() + MOVE_S)
         self._moved_at[move.to_model] = self._clock.now()
         for group in move.ended:
             name, epoch = group.place
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator, JoinOutcome, Outcome
-from mulleinreach.gateway.fleet.hosts import HostBook, is_serving, is_standby
-from mulleinreach.gateway.fleet.loads import LoadGate
-from mulleinreach.gateway.fleet.moving import GroupMover
+from mulleinreach.gateway.fleet.hosts import HostRegistry, is_serving, is_standby
+from mulleinreach.gateway.fleet.loads import WeightLoadLimiter
+from mulleinreach.gateway.fleet.moving import HostRebalancer
 from mulleinreach.gateway.fleet.planner import (
     DomainView,
     FormGroup,
@@ -49,9 +49,9 @@
     def __init__(
         self,
         spares_hall: bool,
-        hosts: HostBook,
+        hosts: HostRegistry,
         operator: GroupOperator,
-        duties: HostDuties,
+        duties: HostTasks,
         evacuated: Callable[[], frozenset[str]],
         clock: Clock,
         log: EventLog,
@@ -62,10 +62,10 @@
         self._operator = operator
         self._duties = duties
         self._log = log
-        self.gate = LoadGate(clock)
+        self.gate = WeightLoadLimiter(clock)
         self._clock = clock
         self._usage: dict[str, ModelUsage] = {}
-        self._movers: dict[str, GroupMover] = {}
+        self._movers: dict[str, HostRebalancer] = {}
         # When hosts that were told to load a second model may be told again.
         self._stage_again_at: dict[str, float] = {}
 
@@ -128,10 +128,10 @@
             for plan in plan_groups(view, models, target_groups(view, models)):
                 self._spawn_form(service.engine, plan)
 
-    def _mover(self, service: str) -> GroupMover:
+    def _mover(self, service: str) -> HostRebalancer:
         """Return what moves hosts between the models of a service."""
         if service not in self._movers:
-            self._movers[service] = GroupMover(
+            self._movers[service] = HostRebalancer(
                 self._spares_hall,
                 self._hosts,
                 self._operator.is_lease_fresh,
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -9,13 +9,13 @@
 
 from mulleinreach.common import EventLog, VirtualClock
 from mulleinreach.gateway.fleet.allocation import (
-    Work,
+    Workload,
     allocate,
     crowded_models,
     next_move,
 )
-from mulleinreach.gateway.fleet.hosts import HostBook
-from mulleinreach.gateway.fleet.moving import MOVE_S, STAY_S, WANTED_S, GroupMover
+from mulleinreach.gateway.fleet.hosts import HostRegistry
+from mulleinreach.gateway.fleet.moving import MOVE_S, STAY_S, WANTED_S, HostRebalancer
 from mulleinreach.gateway.fleet.planner import DomainView, FreeHost, ServingGroup
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
@@ -52,8 +52,8 @@
 
 def _work(
     places: dict[str, float], views: list[DomainView], before: frozenset[str] = frozenset()
-) -> Work:
-    work = Work(ENGINE.slots, places)
+) -> Workload:
+    work = Workload(ENGINE.slots, places)
     return replace(work, crowded=crowded_models(views, work, before))
 
 
@@ -123,12 +123,14 @@
     assert targets["d0"][LARGE] == 1
 
 
-def _mover(clock: VirtualClock, may_begin: bool = True, spares_hall: bool = False) -> GroupMover:
-    hosts = HostBook(UpstreamDirectory(), clock)
-    return GroupMover(spares_hall, hosts, lambda: may_begin, clock, EventLog("test"))
+def _mover(
+    clock: VirtualClock, may_begin: bool = True, spares_hall: bool = False
+) -> HostRebalancer:
+    hosts = HostRegistry(UpstreamDirectory(), clock)
+    return HostRebalancer(spares_hall, hosts, lambda: may_begin, clock, EventLog("test"))
 
 
-def _begun(mover: GroupMover, views: list[DomainView], places: dict[str, float]) -> set[str]:
+def _begun(mover: HostRebalancer, views: list[DomainView], places: dict[str, float]) -> set[str]:
     """Return the domains whose targets differ from what they have."""
     targets = mover.targets(SERVICE, views, places)
     return {view.name for view in views if targets[view.name] != view.groups}
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -14,8 +14,8 @@
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.fleet.halls import failed_halls, hall_signs
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.halls import assess_hall, failed_halls
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head, UpstreamDirectory
 from mulleinreach.gateway.node import GatewayNode
@@ -271,7 +271,7 @@
 def test_hosts_of_a_hall_that_is_down_are_lost_until_they_show_themselves():
     async def test():
         directory, clock = UpstreamDirectory(), VirtualClock()
-        hosts = HostBook(directory, clock)
+        hosts = HostRegistry(directory, clock)
         rows = [make_upstream(name, "s", 1, "d", name[0]) for name in ("a1", "a2", "b1")]
         directory.replace_all(1, rows, clock.now())
         hosts.refresh("s")
@@ -301,10 +301,10 @@
     ]
     told = {f"a{n}": load for n, load in enumerate(loads)}
     nodes = [HeardNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
-    signs = [hall_signs("a", heads, told, set(), nodes)]
+    signs = [assess_hall("a", heads, told, set(), nodes)]
     for hall, load in (("b", MOVING), ("c", third)):
         head = Head(make_upstream(hall, MODEL_SERVICE, 9, "d", hall), hall, 1, LARGE)
-        signs.append(hall_signs(hall, [head], {hall: load}, set(), nodes))
+        signs.append(assess_hall(hall, [head], {hall: load}, set(), nodes))
     return [found.hall for found in failed_halls(signs, own_hall="b")]
 
 
--- a/mulleinreach/gateway/fleet/tests/test_planner.py
+++ b/mulleinreach/gateway/fleet/tests/test_planner.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mulleinreach.common import Address, Clock, VirtualClock
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.planner import (
     DomainView,
     FreeHost,
@@ -119,7 +119,7 @@
 def test_host_is_cold_for_as_long_as_its_row_told():
     async def test():
         directory, clock = UpstreamDirectory(), VirtualClock()
-        hosts = HostBook(directory, clock)
+        hosts = HostRegistry(directory, clock)
         row = Upstream("u", "s", Address("10.0.0.1", 1), "hall", cold_s=5.0)
         directory.replace_all(1, [row], clock.now())
         hosts.refresh("s")
--- a/mulleinreach/gateway/fleet/usage.py
+++ b/mulleinreach/gateway/fleet/usage.py
@@ -11,7 +11,7 @@
 
 # Plans should follow what lasts: a load takes over ten seconds, a wave of requests less.
 SMOOTHING_S = 3.0
-# Work is unknown until streams have begun and ended for a while; what was seen by then counts
+# Workload is unknown until streams have begun and ended for a while; what was seen by then counts
 # as if it had lasted for half of the time.
 SETTLED_S = 2.0
 SHORTEST_SMOOTHING_S = 0.3
--- a/mulleinreach/gateway/fleet/watch.py
+++ b/mulleinreach/gateway/fleet/watch.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import (
     SLOW_PACE,
-    HostBook,
+    HostRegistry,
     is_serving,
     is_standby,
     stands_in,
@@ -37,7 +37,7 @@
 HEAD_ABSENT_S = 1.5
 
 
-class GroupWatch:
+class GroupMonitor:
     """Looks at one group after the other.
 
     Parameters
@@ -48,10 +48,10 @@
 
     def __init__(
         self,
-        hosts: HostBook,
+        hosts: HostRegistry,
         operator: GroupOperator,
         placement: Placement,
-        duties: HostDuties,
+        duties: HostTasks,
         loads: Callable[[], list[LoadReport]],
         clock: Clock,
         log: EventLog,
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -19,7 +19,7 @@
 from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.knowledge import SharedKnowledge
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
@@ -205,7 +205,7 @@
             self.log,
             self.identity.is_first_start,
         )
-        self.hosts = HostBook(self.directory, self.clock)
+        self.hosts = HostRegistry(self.directory, self.clock)
         self.operator = GroupOperator(
             self.ports.orders,
             self.lease,
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.common import VirtualClock
 from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.fleet.loads import WINDOW_S, LoadGate
+from mulleinreach.gateway.fleet.loads import WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import EXTRA_RESUMES
 from mulleinreach.gateway.tests.noticed import ask_for, large_heads
@@ -99,7 +99,7 @@
 def test_loads_of_weights_keep_below_the_ceiling():
     async def test():
         clock = VirtualClock()
-        gate = LoadGate(clock)
+        gate = WeightLoadLimiter(clock)
         begun = []
         for _ in range(4000):
             if gate.may_begin(PROFILE):
@@ -115,7 +115,7 @@
 
 def test_loads_at_once_are_bounded():
     async def test():
-        gate = LoadGate(VirtualClock())
+        gate = WeightLoadLimiter(VirtualClock())
         running = 0
         while gate.may_begin(PROFILE):
             gate.begin()
