--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -167,7 +167,7 @@
         "RESTORE",
         "tokens rise beyond those that are lost",
         f"{GATEWAY}/coordination/lease.py",
-        "        self._highest_token += LOST_TOKENS\n",
+        "        self._highest_token += RESTORE_TOKEN_INCREMENT\n",
         "",
         LEASE,
     ),
--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -15,7 +15,7 @@
 UPSTREAM = make_upstream("u", "desk", 1, None)
 
 
-class Desk:
+class LimitHarness:
     """Nodes that send to one upstream with a limit, and the coordinator that they hear."""
 
     def __init__(self, nodes: int, limit: float):
@@ -39,7 +39,7 @@
         """Let an answer of the upstream name its limit to a node."""
         self.nodes[number].limits.take(UPSTREAM.id, limit)
 
-    def start_again(self, number: int) -> None:
+    def restart_node(self, number: int) -> None:
         """Let a node start again, which an answer has told the limit."""
         self.nodes[number] = self.make_node(number)
         self.tell(number, self.limit)
@@ -60,7 +60,7 @@
         self.sent_at.append(self.clock.now())
         return True
 
-    def ask_and_wait(self, number: int) -> None:
+    def send_or_wait(self, number: int) -> None:
         """Let a node send a request now, or after the coordinator's next answer, if it may."""
         node = self.nodes[number]
         node.demand.note_asked(UPSTREAM.id)
--- a/mulleinreach/gateway/coordination/tests/test_fences.py
+++ b/mulleinreach/gateway/coordination/tests/test_fences.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from mulleinreach.gateway.coordination.lease import Renewal
+from mulleinreach.gateway.coordination.lease import RenewalOutcome
 from mulleinreach.gateway.fleet.formation import LeaseLost
 from mulleinreach.gateway.known.upstreams import collect_groups
 from mulleinreach.gateway.ports import Accepted, Fenced
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import LEASE
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
@@ -22,7 +22,7 @@
     """
     name = world.coordinator()
     sleeper = world.nodes[name]
-    turn_away(sleeper)
+    block_store_access(sleeper)
     for other in world.nodes:
         world.links.cut_both(name, other)
     await world.until(lambda: world.coordinator() not in (name, None))
@@ -66,8 +66,8 @@
     async def test(world):
         await world.until_formed()
         holder = world.nodes[world.coordinator()]
-        holder.lease.note_fenced()
-        assert await holder.lease.renew() is Renewal.LOST
+        holder.lease.mark_fenced()
+        assert await holder.lease.renew() is RenewalOutcome.LOST
         assert not holder.lease.is_held()
         # The row lapses, and a new term begins under a higher token.
         token = holder.lease.token
--- a/mulleinreach/gateway/coordination/tests/test_late_writes.py
+++ b/mulleinreach/gateway/coordination/tests/test_late_writes.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.coordination.lease import LEASE_S
+from mulleinreach.gateway.coordination.lease import LEASE_DURATION_S
 from mulleinreach.gateway.coordination.tests.test_restored_lease import watch_holders
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE
@@ -27,7 +27,9 @@
             await world.kill_node(world.coordinator() or "node-0")
         await asyncio.sleep(6)
         world.store.late_s = 0.0
-        await world.until(lambda: world.coordinator() is not None, late_s + LEASE_S + HELD_AGAIN_S)
+        await world.until(
+            lambda: world.coordinator() is not None, late_s + LEASE_DURATION_S + HELD_AGAIN_S
+        )
         await asyncio.sleep(4)
         assert not holding.done(), holding.exception()
         holding.cancel()
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from mulleinreach.gateway.coordination.permit_allocation import BURST, PermitAllocator
-from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, Desk
+from mulleinreach.gateway.coordination.permit_allocation import BURST_PERMITS, PermitAllocator
+from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, LimitHarness
 from mulleinreach.gateway.known.limits import NamedLimit, permit_s
 from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.tests.limited import assert_kept, rate
+from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
 
 ROUND_S = 0.1
 # So much of a limit is to be used where there are requests enough; of a low one a permit that
@@ -21,7 +21,7 @@
 LOW_PER_S = 2.0
 NODES = st.integers(0, 5)
 # How long the lease of a coordinator that fell silent still keeps others from it.
-LEASE_S = 1.6
+REMAINING_LEASE_S = 1.6
 
 
 def to_be_used(limit: float) -> float:
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("limit", [0.5, 1.1, 2.0, 6.0, 20.0])
 @pytest.mark.parametrize("is_spread", [True, False])
 def test_limit_is_used_and_kept(nodes, limit, is_spread):
-    desk, rng = Desk(nodes, limit), random.Random(nodes)
+    desk, rng = LimitHarness(nodes, limit), random.Random(nodes)
     everybody = set(range(nodes))
     askers = everybody if is_spread else {0}
     began_at = desk.clock.now()
@@ -45,41 +45,41 @@
                 desk.ask(number)
         desk.allocate(everybody)
         desk.clock.at += ROUND_S
-    assert_kept(desk.sent_at, limit)
-    assert rate(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
+    assert_limit_kept(desk.sent_at, limit)
+    assert requests_per_s(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
 
 
 @pytest.mark.parametrize("nodes", [8, 30, 350])
 @pytest.mark.parametrize("limit", [0.5, 1.1, 2.0])
 def test_limit_is_used_by_nodes_that_have_few_requests_each(nodes, limit):
-    desk, rng = Desk(nodes, limit), random.Random(nodes)
+    desk, rng = LimitHarness(nodes, limit), random.Random(nodes)
     began_at = desk.clock.now()
     while desk.clock.now() < began_at + 60:
         for _ in range(3):
             if rng.random() < limit * ROUND_S:
-                desk.ask_and_wait(rng.randrange(nodes))
+                desk.send_or_wait(rng.randrange(nodes))
         desk.allocate(set(range(nodes)))
         desk.clock.at += ROUND_S
-    assert_kept(desk.sent_at, limit)
-    assert rate(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
+    assert_limit_kept(desk.sent_at, limit)
+    assert requests_per_s(desk.sent_at, began_at + 10, began_at + 60) >= to_be_used(limit)
 
 
 def test_permits_follow_demand_that_moves():
-    desk = Desk(8, 2.0)
+    desk = LimitHarness(8, 2.0)
     for number in (0, 5):
         moved_at = desk.clock.now()
         while desk.clock.now() < moved_at + 20:
             desk.ask(number)
             desk.allocate(set(range(8)))
             desk.clock.at += ROUND_S
-    assert rate(desk.sent_at, moved_at + 3, moved_at + 20) >= USED * 2.0
+    assert requests_per_s(desk.sent_at, moved_at + 3, moved_at + 20) >= USED * 2.0
 
 
 def test_what_nobody_wanted_for_long_is_not_given_out_at_once():
     allocator = PermitAllocator(0.0)
     allocator.allocate({}, {"u": 1.0}, 10.0)
     (given,) = allocator.allocate({"a": (PermitCount("u", 50),)}, {"u": 1.0}, 100.0)["a"]
-    assert given.count <= BURST
+    assert given.count <= BURST_PERMITS
 
 
 def test_two_nodes_that_want_as_much_get_as_much():
@@ -97,7 +97,7 @@
 
     @initialize(limit=st.sampled_from([0.5, 1.1, 2.1, 6.0, 30.0]))
     def begin(self, limit):
-        self.desk = Desk(6, limit)
+        self.desk = LimitHarness(6, limit)
         self.heard = set(range(6))
         self.silent_until = 0.0
 
@@ -126,12 +126,12 @@
 
     @rule(number=NODES)
     def node_starts_again(self, number):
-        self.desk.start_again(number)
+        self.desk.restart_node(number)
 
     @rule()
     def coordinator_is_replaced(self):
         """Its lease lapses first; the next one begins to give permits later still."""
-        self.silent_until = self.desk.clock.now() + LEASE_S
+        self.silent_until = self.desk.clock.now() + REMAINING_LEASE_S
         self.desk.allocator = PermitAllocator(self.silent_until)
 
     @rule(seconds=st.sampled_from([0.05, 0.5, 1.0, 5.0]))
@@ -141,17 +141,17 @@
     @invariant()
     def limit_is_kept(self):
         if hasattr(self, "desk"):
-            assert_kept(self.desk.sent_at, self.desk.limit)
+            assert_limit_kept(self.desk.sent_at, self.desk.limit)
 
 
 def test_word_of_a_coordinator_dates_permits_from_what_it_answers():
-    desk = Desk(2, 5.0)
+    desk = LimitHarness(2, 5.0)
     desk.nodes[0].take([PermitCount(UPSTREAM.id, 2)], desk.clock.now() - permit_s(5.0), 2)
     assert not desk.nodes[0].may_send(UPSTREAM.id)
 
 
 def test_limit_that_sinks_ends_the_permits_that_were_given_out_before():
-    desk = Desk(1, 30.0)
+    desk = LimitHarness(1, 30.0)
     node = desk.nodes[0]
     node.take([PermitCount(UPSTREAM.id, 20)], desk.clock.now(), 2)
     assert node.may_send(UPSTREAM.id)
@@ -161,7 +161,7 @@
 
 
 def test_limit_that_is_told_binds_a_node_that_had_no_answer():
-    desk = Desk(1, 5.0)
+    desk = LimitHarness(1, 5.0)
     other = desk.make_node(1)
     other.limits.take_told([NamedLimit(UPSTREAM.id, 5.0)], desk.clock.now())
     assert not other.may_send(UPSTREAM.id)
--- a/mulleinreach/gateway/coordination/tests/test_restored_lease.py
+++ b/mulleinreach/gateway/coordination/tests/test_restored_lease.py
@@ -8,18 +8,18 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.lease import (
-    LEASE_S,
-    RENEW_S,
+    LEASE_DURATION_S,
+    RENEW_INTERVAL_S,
     CoordinatorLease,
     LeaseState,
-    Renewal,
+    RenewalOutcome,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.restoring import restore, write_hosts_again, write_others
 from mulleinreach.standins.gateway.store import MemoryLease, MemoryStore
 from mulleinreach.standins.virtual import run_virtual
 
-LAPSED_S = 1.1 * LEASE_S
+LAPSED_S = 1.1 * LEASE_DURATION_S
 # The next renewal, and one more after a look at the row.
 HELD_AGAIN_S = 1.0
 
@@ -35,9 +35,9 @@
 async def _take_over(store: MemoryStore, holder: str) -> CoordinatorLease:
     """Return a lease that a node has taken once it saw the row unchanged for long enough."""
     lease = make_lease(store, holder)
-    await lease.look()
+    await lease.read_state()
     await asyncio.sleep(LAPSED_S)
-    assert await lease.look() is LeaseState.FREE
+    assert await lease.read_state() is LeaseState.FREE
     assert await lease.acquire()
     return lease
 
@@ -79,7 +79,7 @@
         again = make_lease(store, "a.2")
 
         async def take():
-            if await again.look() is LeaseState.FREE:
+            if await again.read_state() is LeaseState.FREE:
                 await again.acquire()
 
         await _never_both(again, later, take)
@@ -95,7 +95,7 @@
         assert await earlier.acquire()
         store.restore(copy)
         later = make_lease(store, "b.1")
-        assert await later.look() is LeaseState.FREE
+        assert await later.read_state() is LeaseState.FREE
         assert await later.acquire()
         assert store.version == 1
         await _never_both(earlier, later, earlier.renew)
@@ -110,8 +110,8 @@
         assert await lease.acquire()
         copy = store.copy()
         for _ in range(4):
-            await asyncio.sleep(RENEW_S)
-            assert await lease.renew() is Renewal.DONE
+            await asyncio.sleep(RENEW_INTERVAL_S)
+            assert await lease.renew() is RenewalOutcome.RENEWED
         store.restore(copy)
         write_others(store, 9)
         for _ in range(20):
@@ -141,11 +141,11 @@
         assert await lease.acquire()
         copy = store.copy()
         store.loses = True
-        assert await lease.renew() is Renewal.UNKNOWN
+        assert await lease.renew() is RenewalOutcome.UNKNOWN
         store.loses = False
         store.restore(copy)
-        assert await lease.renew() is Renewal.UNKNOWN
-        assert await lease.renew() is Renewal.DONE
+        assert await lease.renew() is RenewalOutcome.UNKNOWN
+        assert await lease.renew() is RenewalOutcome.RENEWED
 
     run_virtual(test())
 
@@ -165,7 +165,7 @@
         await restore(world.store, copy, away_s)
         write_hosts_again(world.fabric)
         back_s = await world.until(lambda: world.coordinator() is not None, 8)
-        assert back_s <= 2 * LEASE_S + HELD_AGAIN_S
+        assert back_s <= 2 * LEASE_DURATION_S + HELD_AGAIN_S
         await asyncio.sleep(4)
         assert not holding.done(), holding.exception()
         holding.cancel()
--- a/mulleinreach/gateway/coordination/tests/test_sharing.py
+++ b/mulleinreach/gateway/coordination/tests/test_sharing.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from mulleinreach.gateway.fleet.tests.test_fleet import keep_asking, member_of
+from mulleinreach.gateway.fleet.tests.test_fleet import member_of, request_streams_forever
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
@@ -47,7 +47,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         dying = asyncio.create_task(member_of(world, LARGE, rank=1).die())
         await asyncio.sleep(4)
--- a/mulleinreach/gateway/coordination/tests/test_silent_connections.py
+++ b/mulleinreach/gateway/coordination/tests/test_silent_connections.py
@@ -4,13 +4,13 @@
 
 import asyncio
 
-from mulleinreach.gateway.coordination.hub import SILENCE_S
+from mulleinreach.gateway.coordination.hub import REPORT_TIMEOUT_S
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import LARGE, SMALL, make_configuration
 
 # A silent connection is given up, a new one is made, and its first report is answered.
-JOINED_AGAIN_S = SILENCE_S + 0.5
+JOINED_AGAIN_S = REPORT_TIMEOUT_S + 0.5
 
 
 def test_nodes_hear_of_totals_again():
--- a/mulleinreach/gateway/coordination/tests/test_successor.py
+++ b/mulleinreach/gateway/coordination/tests/test_successor.py
@@ -8,14 +8,14 @@
 import pytest
 
 from mulleinreach.gateway.coordination.lease import Successor
-from mulleinreach.gateway.coordination.succession import tell_replaced
-from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.coordination.succession import notify_replaced
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import API_KEY, make_configuration
 
-STRICT = Bounds(key_evidence_s=4.5)
+STRICT = DeploymentBounds(max_key_evidence_age_s=4.5)
 NODES = 6
 
 
@@ -25,13 +25,13 @@
     others = [name for name in world.nodes if name != coordinator]
     away = [coordinator, *others[: NODES // 2 - 1]]
     for name in away:
-        turn_away(world.nodes[name])
+        block_store_access(world.nodes[name])
     return away
 
 
 def test_half_of_the_nodes_turned_away_with_the_coordinator_serve_on():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(3)
         away = await turn_half_away(world)
         refused = 0
@@ -47,7 +47,7 @@
 
 def test_nodes_turned_away_follow_what_the_new_coordinator_reads():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(3)
         away = await turn_half_away(world)
         await asyncio.sleep(4)
@@ -68,7 +68,7 @@
         other = next(node for node in world.nodes.values() if node is not holder)
         forged = replace(holder.lease.record, secret=secret)
         successor = Successor(99, "10.0.0.1:1", "mine")
-        await tell_replaced(forged, successor, other.identity.name, other.network, other.log)
+        await notify_replaced(forged, successor, other.identity.name, other.network, other.log)
         await asyncio.sleep(0.3)
         assert holder.coordination._hub.successor is None
 
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.reports import (
     OpenHead,
 )
@@ -75,7 +75,7 @@
         operator: GroupOperator,
         in_force: ConfigurationInForce,
         loads: Callable[[], list[LoadReport]],
-        nodes: Callable[[], list[HeardNode]],
+        nodes: Callable[[], list[RecentNode]],
         is_first_holder: Callable[[], bool],
         read_anew: Callable[[], Awaitable[bool]],
         clock: Clock,
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -343,5 +343,5 @@
             "order", order=order, host=host.id, group=group, outcome=outcome, detail=detail
         )
         if isinstance(result, Fenced):
-            self._lease.note_fenced()
+            self._lease.mark_fenced()
             raise LeaseLost
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.totals import sum_loads
 from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
@@ -130,7 +130,7 @@
         hosts: HostRegistry,
         operator: GroupOperator,
         duties: HostTasks,
-        nodes: Callable[[], list[HeardNode]],
+        nodes: Callable[[], list[RecentNode]],
         clock: Clock,
         log: EventLog,
     ):
@@ -164,7 +164,7 @@
             for signs in failed_halls(self._signs(up, nodes), self._own_hall):
                 self._begin(signs)
 
-    def _signs(self, heads: list[Head], nodes: list[HeardNode]) -> list[HallHealth]:
+    def _signs(self, heads: list[Head], nodes: list[RecentNode]) -> list[HallHealth]:
         """Return the signs of all halls with open groups.
 
         What a silent node told last would show progress that there is no more.
@@ -192,7 +192,7 @@
             upstreams=len(self._down[signs.hall].rows),
         )
 
-    def _look_whether_back(self, hall: str, down: _FailedHall, nodes: list[HeardNode]) -> None:
+    def _look_whether_back(self, hall: str, down: _FailedHall, nodes: list[RecentNode]) -> None:
         now = self._clock.now()
         reported = [n for n in nodes if n.report.hall == hall and now - n.silent_s > down.found_at]
         if reported:
@@ -250,7 +250,7 @@
     heads: list[Head],
     loads: dict[str, LoadReport],
     lost: set[str],
-    nodes: list[HeardNode],
+    nodes: list[RecentNode],
 ) -> HallHealth:
     """Return what tells whether a hall is alive.
 
@@ -304,7 +304,7 @@
     return [found for found in signs if has_third and found.has_failed()]
 
 
-def _may_have_failed(heads: list[Head], nodes: list[HeardNode]) -> bool:
+def _may_have_failed(heads: list[Head], nodes: list[RecentNode]) -> bool:
     """Whether the nodes of some hall are silent, which costs little to see."""
     alive = {node.report.hall for node in nodes if node.silent_s < NODES_SILENT_S}
     return any(head.upstream.hall not in alive for head in heads)
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -8,7 +8,7 @@
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.upstream_following import REINSTATED_S
 from mulleinreach.gateway.known.upstreams import Group, UpstreamDirectory
-from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_in_name
+from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
 LOST_MEMORY_S = 30.0
 # Retiring takes less; what is older concerns a group that is gone from the list.
@@ -222,7 +222,7 @@
         if known is not None or upstream is None or upstream.membership is None:
             return known
         is_joined = upstream.membership.state is not MemberState.JOINING
-        return model_in_name(upstream.membership.group) if is_joined else None
+        return model_of_group(upstream.membership.group) if is_joined else None
 
     def get(self, host: str) -> Upstream | None:
         """Return a host, listed or remembered."""
--- a/mulleinreach/gateway/fleet/loads.py
+++ b/mulleinreach/gateway/fleet/loads.py
@@ -34,7 +34,7 @@
         oldest = self._clock.now() - WINDOW_S
         while self._begun and self._begun[0] < oldest:
             self._begun.popleft()
-        if self._running >= profile.loads_at_once:
+        if self._running >= profile.max_concurrent_loads:
             return False
         return len(self._begun) + 1 <= profile.loads_per_s * WINDOW_S * SHARE_USED
 
@@ -42,7 +42,7 @@
         """Whether a load may begin that nobody waits for."""
         if not self.is_limited:
             return True
-        is_idle = self._running < STAGING_SHARE * profile.loads_at_once
+        is_idle = self._running < STAGING_SHARE * profile.max_concurrent_loads
         return is_idle and self.may_begin(profile)
 
     def begin(self) -> None:
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -13,7 +13,7 @@
 )
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Group
-from mulleinreach.gateway.tests.support import keep_asking, run_world
+from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.standins.gateway.hosts import HostTimes
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL, GatewayWorld
 
@@ -38,7 +38,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         victim = member_of(world, LARGE, rank=2)
         head = victim.standing.members[0]
@@ -61,7 +61,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, SMALL))
+        asking = asyncio.create_task(request_streams_forever(world, SMALL))
         await asyncio.sleep(1)
         head = member_of(world, SMALL, rank=0)
         dying = asyncio.create_task(head.die())
@@ -143,7 +143,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, SMALL))
+        asking = asyncio.create_task(request_streams_forever(world, SMALL))
         for _ in range(2):
             await asyncio.sleep(1)
             dying = asyncio.create_task(member_of(world, SMALL, rank=1).die())
@@ -196,13 +196,13 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         dying = asyncio.create_task(member_of(world, LARGE, rank=2).die())
         await asyncio.sleep(after_s)
         asking.cancel()
         await world.kill_node(world.coordinator())
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(4)
         await world.until(lambda: world.open_groups(LARGE) == 2, timeout_s=8)
         asking.cancel()
@@ -215,7 +215,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         slow = member_of(world, LARGE, rank=2)
         slow.pace = 12.0
         await world.until(lambda: not _is_used(world, slow), timeout_s=6)
@@ -239,7 +239,7 @@
         await asyncio.sleep(3)
         for host in world.fabric.hosts.values():
             host.pace = 9.0
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         epochs = {h.standing.epoch for h in world.fabric.hosts.values()}
         await asyncio.sleep(5)
         asking.cancel()
@@ -298,7 +298,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(0.5)
         head = member_of(world, LARGE, rank=0)
         silent = [world.fabric.hosts[member] for member in head.standing.members]
@@ -326,7 +326,7 @@
 
 def test_group_serves_nobody_before_its_slowest_member_is_ready():
     async def test(world):
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         slow = list(world.fabric.hosts.values())[1::2]
         for host in slow:
             host.times = HostTimes(load_s=6.0)
@@ -342,7 +342,7 @@
         await world.until_formed()
         holder = world.nodes[world.coordinator()]
         other = next(node for node in world.nodes.values() if node is not holder)
-        await other.lease.look()
+        await other.lease.read_state()
         other.coordination._election_delay_s = lambda: 1.0
         standing = asyncio.create_task(other.coordination._stand_for_election())
         await asyncio.sleep(1.5)
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -10,7 +10,7 @@
 import pytest
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
@@ -191,7 +191,7 @@
             await asyncio.sleep(0.05)
         # One of each model in both domains.
         assert _open_groups_in(world, hall) >= 4
-        assert most_loads <= PROFILE.loads_at_once
+        assert most_loads <= PROFILE.max_concurrent_loads
         callers.stop()
 
     run_world(test, **HALLS)
@@ -300,7 +300,7 @@
         for n in range(4)
     ]
     told = {f"a{n}": load for n, load in enumerate(loads)}
-    nodes = [HeardNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
+    nodes = [RecentNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
     signs = [assess_hall("a", heads, told, set(), nodes)]
     for hall, load in (("b", MOVING), ("c", third)):
         head = Head(make_upstream(hall, MODEL_SERVICE, 9, "d", hall), hall, 1, LARGE)
--- a/mulleinreach/gateway/fleet/tests/test_staging.py
+++ b/mulleinreach/gateway/fleet/tests/test_staging.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from mulleinreach.gateway.ports import Rejected
-from mulleinreach.gateway.tests.support import keep_asking, run_world
+from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.standins.gateway.hosts import HostTimes
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
 
@@ -34,7 +34,7 @@
         await asyncio.sleep(5)
         for host in world.fabric.hosts.values():
             host.times = SLOW_LOAD
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         head = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, LARGE)[0]
         members = world.fabric.hosts[head.upstream.id].standing.members
@@ -52,7 +52,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(5)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         new = await world.add_host("host-new", "domain-0")
         await world.until(lambda: holds_both(new), 15)
         asking.cancel()
@@ -65,7 +65,7 @@
         for host in world.fabric.hosts.values():
             host.stage = lambda model: Rejected(409)
         await world.until_formed()
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(0.5)
         staged: list[str] = []
         for host in world.fabric.hosts.values():
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.tests.support import run_world
-from mulleinreach.gateway.upstream import incarnation_id, name_of
+from mulleinreach.gateway.upstream import incarnation_id, upstream_name
 from mulleinreach.standins.gateway.world import LARGE, SMALL
 
 # A group of four whose host starts again is whole once more after the order to join, the load of
@@ -51,7 +51,7 @@
         )
         assert took_s < REPAIRED_S
         for node in world.nodes.values():
-            assert node.directory.running(name_of(host.id)) not in (None, host.id)
+            assert node.directory.running(upstream_name(host.id)) not in (None, host.id)
         for name in world.nodes:
             answer = await world.stream(20, node=name)
             assert len(answer.event_ids) == 20
@@ -99,14 +99,14 @@
 def test_many_starts_in_a_row_leave_one_upstream_under_the_name():
     async def test(world):
         await world.until_formed()
-        name = name_of(member_of_open_group(world, 2).id)
+        name = upstream_name(member_of_open_group(world, 2).id)
         for _ in range(4):
             current = next(iter(world.nodes.values())).directory.running(name)
             world.crashes.begin(current, 0.02, keeps_name=True)
             await asyncio.sleep(0.15)
         await world.until(lambda: all(world.open_groups(LARGE, node) == 2 for node in world.nodes))
         for node in world.nodes.values():
-            ids = [u for u in node.directory.ids() if name_of(u) == name]
+            ids = [u for u in node.directory.ids() if upstream_name(u) == name]
             assert len(ids) == 1
 
     run_world(test, nodes=2)
@@ -120,7 +120,7 @@
         node = world.nodes["node-1"]
         [runs] = world.fabric.checks.runs.values()
         before = node.directory.get(runs[0])
-        later = replace(before, id=incarnation_id(name_of(before.id), 5), membership=None)
+        later = replace(before, id=incarnation_id(upstream_name(before.id), 5), membership=None)
         node.directory.apply(ListChange(node.directory.revision, [later], []), world.clock.now())
         await asyncio.sleep(0.05)
         assert node.loads.running(before.id) == 0
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -28,7 +28,7 @@
 from mulleinreach.gateway.known.permits import PermitCount, SendPermits
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
 from mulleinreach.gateway.request.urgency import FirstWaits
 
@@ -36,7 +36,7 @@
 UNPROVEN_S = 0.7
 
 
-class SharedKnowledge:
+class SharedState:
     """One node's side of the exchange.
 
     Parameters
@@ -123,23 +123,23 @@
         """Return the age of the latest proof that the configuration is the newest."""
         return self._in_force.evidence_age_s()
 
-    def inheritance(self) -> Inheritance:
+    def inheritance(self) -> HandoverState:
         """Return what nodes that start should know."""
-        return Inheritance(self._first_waits.known(), self._crashes.held())
+        return HandoverState(self._first_waits.known(), self._crashes.held())
 
     def sightings(self, includes_old: bool) -> list[Sighting]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
         return self._crashes.own_sightings(includes_old)
 
-    def take_sightings(self, sightings: list[Sighting]) -> None:
+    def merge_sightings(self, sightings: list[Sighting]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
         self._crashes.take(sightings)
 
-    def untold_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
+    def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
         return self._permits.limits.untold(includes_told)
 
-    def take_limits(self, named: tuple[NamedLimit, ...]) -> None:
+    def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Take what another node knows of the limits of upstreams."""
         self._permits.limits.take_reported(named)
 
@@ -167,7 +167,7 @@
         if self._in_force.operator_rows() == rows:
             await self._in_force.read_anew()
 
-    async def read_unproven_rows(self) -> None:
+    async def read_unconfirmed_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
         self._follower.confirm(self._loads.now())
         if self._in_force.evidence_age_s() > UNPROVEN_S:
@@ -179,7 +179,7 @@
 
     # What is taken.
 
-    def take_inheritance(self, inheritance: Inheritance) -> None:
+    def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew of callers."""
         self._first_waits.take_told(inheritance.first_waits)
         self._crashes.take_held(inheritance.held)
@@ -204,7 +204,7 @@
             totals.operator_revision,
         )
         self._follower.take_outage(totals.keeps_removed)
-        if totals.is_store_away:
+        if totals.is_store_unavailable:
             self._in_force.note_store_away(asked_at)
         if report.whole_list is not None:
             self._follower.take_whole(report.whole_list, asked_at - totals.list_age_s)
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import replace
 
-from mulleinreach.gateway.tests.support import keep_asking, run_world
+from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.standins.gateway.hosts import REPORT_LAG_S
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
@@ -65,7 +65,7 @@
         coordinator.log.event = event
         host = _open_head(world)
         lost = world.fabric.hosts[host.standing.members[2]]
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        asking = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         dying = asyncio.create_task(lost.die())
         await asyncio.sleep(3)
--- a/mulleinreach/gateway/known/tests/test_restored_store.py
+++ b/mulleinreach/gateway/known/tests/test_restored_store.py
@@ -15,7 +15,7 @@
 import pytest
 
 from mulleinreach.common import Address
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.standins.gateway.hosts import make_upstream
@@ -55,7 +55,7 @@
 
 
 async def _serve(world: GatewayWorld, count: int = 2) -> None:
-    await serve_desk(world, *[answer_whole] * count)
+    await start_plain_upstreams(world, *[echo_path] * count)
     for node in world.nodes.values():
         await world.until(lambda node=node: len(node.directory) >= count and node.is_ready())
 
@@ -162,7 +162,7 @@
     async def test(world):
         await _serve(world, 1)
         async with restored_after(world.store):
-            await world.add_plain("desk-1", answer_whole)
+            await world.add_plain("desk-1", echo_path)
         await asyncio.sleep(HEARD_S)
         assert await _sent_to(world, "desk-1") != []
         await asyncio.sleep(HEARTBEAT_S - HEARD_S)
@@ -179,7 +179,7 @@
     async def test(world):
         await _serve(world, 1)
         async with restored_after(world.store, away_s=away_s):
-            await world.add_plain("desk-1", answer_whole)
+            await world.add_plain("desk-1", echo_path)
         for _ in range(int(HEARTBEAT_S / 0.2)):
             await asyncio.sleep(0.2)
             assert await _sent_to(world, "desk-1") != []
@@ -207,7 +207,7 @@
     async def test(world):
         await _serve(world, 1)
         async with restored_after(world.store):
-            await world.add_plain("desk-1", answer_whole)
+            await world.add_plain("desk-1", echo_path)
         await asyncio.sleep(GONE_S)
         assert await _sent_to(world, "desk-1") == []
 
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from mulleinreach.gateway.coordination.lease import Renewal, Resignation
+from mulleinreach.gateway.coordination.lease import RenewalOutcome, Resignation
 from mulleinreach.gateway.known.upstream_following import TOLD_TO_KEEP_S
 from mulleinreach.gateway.known.upstreams import Group
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Membership, MemberState
 from mulleinreach.standins.gateway.store import UPSTREAMS
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
@@ -158,7 +158,7 @@
         await world.until_formed()
         await asyncio.sleep(3)
         old = world.nodes[world.coordinator()]
-        turn_away(old)
+        block_store_access(old)
         await world.until(lambda: not old.lease.is_held(), 3)
         taken_s = await world.until(lambda: world.coordinator() is not None, 3)
         assert taken_s < 1.5
@@ -179,7 +179,7 @@
         assert await other.lease.acquire_after(
             Resignation(old.lease.token, old.lease.record.renewal)
         )
-        assert await old.lease.renew() is Renewal.LOST
+        assert await old.lease.renew() is RenewalOutcome.LOST
 
     run_world(test, nodes=2)
 
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/known/tests/test_store_turns.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mulleinreach.common import EventLog, VirtualClock
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
 from mulleinreach.gateway.known.turns import reading_turn
 from mulleinreach.gateway.metrics import GatewayMetrics
@@ -17,7 +17,7 @@
 from mulleinreach.standins.virtual import run_virtual
 
 MANY = 195
-LARGE_SITE = Bounds(leaving_s=4.0, config_s=4.0)
+LARGE_SITE = DeploymentBounds(leaving_propagation_s=4.0, config_propagation_s=4.0)
 
 
 def test_node_that_loses_its_coordinator_asks_soon_whatever_it_waited_for():
@@ -48,7 +48,7 @@
 def test_turn_leaves_time_to_read_within_the_bounds(cores):
     turns = [reading_turn(LARGE_SITE, cores, False, random.Random(n)) for n in range(200)]
     assert all(1.5 + turn.extra_s < 3.1 for turn in turns)
-    small = reading_turn(Bounds(), cores, False, random.Random(1))
+    small = reading_turn(DeploymentBounds(), cores, False, random.Random(1))
     assert small.extra_s == 0
     tight = replace(LARGE_SITE, evacuation_s=2.5)
     assert reading_turn(tight, cores, False, random.Random(1)).extra_s == 0
--- a/mulleinreach/gateway/known/told_changes.py
+++ b/mulleinreach/gateway/known/told_changes.py
@@ -5,7 +5,7 @@
 from mulleinreach.common import EventLog
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.revision import format_revision
-from mulleinreach.gateway.upstream import Upstream, name_of
+from mulleinreach.gateway.upstream import Upstream, upstream_name
 
 # A line stays readable when a whole hall comes or goes.
 FIRST_IDS = 5
@@ -37,8 +37,8 @@
     log: EventLog, directory: UpstreamDirectory, revision: int, upstreams: list[Upstream]
 ) -> None:
     """Log what a whole list changes that is about to be taken."""
-    listed = {name_of(upstream.id) for upstream in upstreams}
-    removed = [name for name in map(name_of, directory.ids()) if name not in listed]
+    listed = {upstream_name(upstream.id) for upstream in upstreams}
+    removed = [name for name in map(upstream_name, directory.ids()) if name not in listed]
     tell_change(log, directory, ListChange(revision, upstreams, removed))
 
 
--- a/mulleinreach/gateway/known/turns.py
+++ b/mulleinreach/gateway/known/turns.py
@@ -4,7 +4,7 @@
 
 import random
 
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.reading import ReadingTurn
 
 # By so long after its coordinator's last answer from the store, a node that reads for
@@ -26,10 +26,10 @@
 
 
 def reading_turn(
-    bounds: Bounds, processor_cores: float, is_first_start: bool, rng: random.Random
+    bounds: DeploymentBounds, processor_cores: float, is_first_start: bool, rng: random.Random
 ) -> ReadingTurn:
     """Return the turn of a node; nodes that miss the coordinator don't all ask at once."""
-    tightest_s = min(bounds.leaving_s, bounds.config_s, bounds.evacuation_s)
+    tightest_s = min(bounds.leaving_propagation_s, bounds.config_propagation_s, bounds.evacuation_s)
     spread_s = max(0.0, tightest_s - READ_WITHIN_S)
     part = AMPLE_PART if processor_cores >= AMPLE_CORES else SCARCE_PART
     at_start_s = FIRST_START_PATIENCE_S if is_first_start else START_PATIENCE_S
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -29,7 +29,7 @@
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.ports import HistoryLost, Unavailable, UpstreamSource, UpstreamsRead
 from mulleinreach.gateway.revision import era_of, format_revision
-from mulleinreach.gateway.upstream import Upstream, name_of
+from mulleinreach.gateway.upstream import Upstream, upstream_name
 
 # A change of the list ends the wait for it, so that one that is so much older than a call
 # which was answered would have been told. The store's answers take 4 ms.
@@ -270,7 +270,7 @@
             if self._unusable.get(name) != why:
                 self._log.event("row_unusable", row=name, why=why)
         known = {} if is_full else self._unusable
-        usable = {name_of(upstream.id) for upstream in result.upstreams} | set(result.removed)
+        usable = {upstream_name(upstream.id) for upstream in result.upstreams} | set(result.removed)
         self._unusable = {n: why for n, why in known.items() if n not in usable} | read
 
     def _note_failure(self, failure: Unavailable) -> None:
--- a/mulleinreach/gateway/known/upstreams.py
+++ b/mulleinreach/gateway/known/upstreams.py
@@ -10,9 +10,9 @@
     MemberState,
     Upstream,
     UpstreamState,
-    model_in_name,
-    name_of,
-    start_of,
+    model_of_group,
+    start_time_ms,
+    upstream_name,
 )
 
 
@@ -36,7 +36,7 @@
             if member.models:
                 return member.models[0]
         # Hosts tell the model only while they serve.
-        return model_in_name(self.name)
+        return model_of_group(self.name)
 
     def is_whole(self, size: int) -> bool:
         """Whether all ``size`` members are known."""
@@ -139,7 +139,7 @@
     ) -> None:
         """Take a complete list."""
         upstreams = [self._as_it_says(u) for u in upstreams]
-        listed = {name_of(u.id) for u in upstreams}
+        listed = {upstream_name(u.id) for u in upstreams}
         changed = [u for u in upstreams if self._by_id.get(u.id) != u]
         removed = [name for name in self._running if name not in listed]
         change = ListChange(revision, changed, removed)
@@ -187,7 +187,7 @@
         of an upstream stands, and one that had gone off the list stays off it.
         """
         known = {name: self._by_id[running] for name, running in self._running.items()}
-        pairs = [(upstream, known.get(name_of(upstream.id))) for upstream in upstreams]
+        pairs = [(upstream, known.get(upstream_name(upstream.id))) for upstream in upstreams]
         return [
             listed if before is None else _later_of(before, listed)
             for listed, before in pairs
@@ -213,7 +213,7 @@
 
     def _replace_start(self, upstream_id: str) -> None:
         """Drop an earlier start of an upstream that is listed again."""
-        name = name_of(upstream_id)
+        name = upstream_name(upstream_id)
         before = self._running.get(name)
         if before is not None and before != upstream_id:
             self._drop(before)
@@ -236,7 +236,7 @@
 
     def _drop(self, upstream_id: str) -> None:
         self._by_id.pop(upstream_id, None)
-        self._running.pop(name_of(upstream_id), None)
+        self._running.pop(upstream_name(upstream_id), None)
         self._changed_at.pop(upstream_id, None)
         self._cold_until.pop(upstream_id, None)
         self._kept.discard(upstream_id)
@@ -291,7 +291,7 @@
 
     def is_replaced(self, upstream_id: str) -> bool:
         """Whether the list names another start of an upstream than this one."""
-        return self._running.get(name_of(upstream_id), upstream_id) != upstream_id
+        return self._running.get(upstream_name(upstream_id), upstream_id) != upstream_id
 
     def running(self, name: str) -> str | None:
         """Return the id of the start that the list names for an upstream."""
@@ -327,7 +327,7 @@
 
 def _later_of(known: Upstream, listed: Upstream) -> Upstream:
     """Return what holds of an upstream that is known, and listed by a store that may lag."""
-    if (start_of(listed.id) or 0) > (start_of(known.id) or 0):
+    if (start_time_ms(listed.id) or 0) > (start_time_ms(known.id) or 0):
         return listed
     if listed.id == known.id and listed.state is UpstreamState.DRAINING:
         return replace(known, state=UpstreamState.DRAINING)
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -16,11 +16,11 @@
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
 from mulleinreach.gateway.coordination.membership import Coordination
 from mulleinreach.gateway.coordination.totals import sum_loads
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.knowledge import SharedKnowledge
+from mulleinreach.gateway.knowledge import SharedState
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.known.content import format_digest
@@ -41,7 +41,7 @@
 from mulleinreach.gateway.known.waking import WakeWatch
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
-from mulleinreach.gateway.model import Limits
+from mulleinreach.gateway.model import RequestLimits
 from mulleinreach.gateway.ports import Ports
 from mulleinreach.gateway.request.active import ActiveExchanges
 from mulleinreach.gateway.request.admission import Admission
@@ -76,7 +76,7 @@
     def __init__(
         self,
         identity: GatewayIdentity,
-        bounds: Bounds,
+        bounds: DeploymentBounds,
         ports: Ports,
         network: Network | None = None,
         clock: Clock | None = None,
@@ -218,12 +218,12 @@
         )
         self.controller = FleetController(
             self.identity.hall,
-            self.bounds.halls_at_once >= 1,
+            self.bounds.max_lost_halls >= 1,
             self.hosts,
             self.operator,
             self.in_force,
             self._all_loads,
-            lambda: self.coordination.heard_nodes(),
+            lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
             self.follower.read_anew,
             self.clock,
@@ -238,7 +238,7 @@
             self.log,
             self.rng,
             self.controller.run,
-            SharedKnowledge(
+            SharedState(
                 self.in_force,
                 self.follower,
                 self.directory,
@@ -287,7 +287,7 @@
 
     def _idle_timeout_s(self) -> float:
         configuration = self.in_force.configuration
-        limits = configuration.limits if configuration else Limits()
+        limits = configuration.limits if configuration else RequestLimits()
         return limits.idle_timeout_s
 
     # What the slices ask and tell.
--- a/mulleinreach/gateway/process.py
+++ b/mulleinreach/gateway/process.py
@@ -12,14 +12,14 @@
 from mulleinreach.common import Clock, Network
 from mulleinreach.common.log import write_without_blocking
 from mulleinreach.common.loop import SuspendAwareEventLoop
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.node import GatewayNode
 from mulleinreach.gateway.ports import Ports
 
 
 def run_process(
     identity: GatewayIdentity,
-    bounds: Bounds,
+    bounds: DeploymentBounds,
     make_ports: Callable[[Network], Ports],
     callers: socket.socket | None,
 ) -> None:
@@ -39,7 +39,7 @@
 
 async def _run_node(
     identity: GatewayIdentity,
-    bounds: Bounds,
+    bounds: DeploymentBounds,
     make_ports: Callable[[Network], Ports],
     callers: socket.socket | None,
 ) -> None:
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -351,7 +351,7 @@
     def _own_answer(
         self, headers: CallerHeaders, status: int, retry_after_s: float | None
     ) -> web.Response:
-        answer_headers = self._dialect.refuse_headers(headers.request_id)
+        answer_headers = self._dialect.refusal_headers(headers.request_id)
         if retry_after_s is not None:
             answer_headers["Retry-After"] = f"{retry_after_s:g}"
         return web.Response(status=status, headers=answer_headers)
--- a/mulleinreach/gateway/tests/logged.py
+++ b/mulleinreach/gateway/tests/logged.py
@@ -15,7 +15,7 @@
     fields: dict[str, object]
 
 
-def keep_events(node: GatewayNode) -> list[LoggedEvent]:
+def record_events(node: GatewayNode) -> list[LoggedEvent]:
     """Return a list to which each later event of a node is added."""
     kept: list[LoggedEvent] = []
     log = node.log.event
@@ -28,6 +28,6 @@
     return kept
 
 
-def fields_of(kept: list[LoggedEvent], name: str) -> list[dict[str, object]]:
+def event_fields(kept: list[LoggedEvent], name: str) -> list[dict[str, object]]:
     """Return the fields of all events of a name."""
     return [event.fields for event in kept if event.name == name]
--- a/mulleinreach/gateway/tests/traffic.py
+++ b/mulleinreach/gateway/tests/traffic.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from mulleinreach.gateway.tests.desk import answer_whole
+from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.gateway.tests.support import run_world
 
 THREE_HALLS = {"halls": 3, "nodes": 3, "domains": 3}
@@ -32,7 +32,7 @@
     def _answer_in(self, hall: str):
         async def answer(request):
             self._plain_starts[hall].append(self._world.clock.now())
-            return await answer_whole(request)
+            return await echo_path(request)
 
         return answer
 
@@ -52,11 +52,11 @@
         with contextlib.suppress(aiohttp.ClientError, KeyError):
             await self._world.call(path, body, node=node)
 
-    def plain_starts(self, hall: str) -> list[float]:
+    def plain_request_times(self, hall: str) -> list[float]:
         """Return when upstreams of the plain service were sent requests."""
         return self._plain_starts[hall]
 
-    def model_starts(self, hall: str) -> list[float]:
+    def model_request_times(self, hall: str) -> list[float]:
         """Return when hosts of a hall began requests."""
         checks, hosts = self._world.fabric.checks, self._world.fabric.hosts
         return [
@@ -66,9 +66,9 @@
             if hosts[host].upstream.hall == hall
         ]
 
-    def starts_after(self, hall: str, moment: float) -> list[float]:
+    def request_times_after(self, hall: str, moment: float) -> list[float]:
         """Return the starts of either kind after a moment."""
-        starts = self.plain_starts(hall) + self.model_starts(hall)
+        starts = self.plain_request_times(hall) + self.model_request_times(hall)
         return [at for at in starts if at > moment]
 
     async def stop(self) -> None:
