--- a/mulleinreach/gateway/fleet/allocation.py
+++ b/mulleinreach/gateway/fleet/allocation.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from mulleinreach.gateway.fleet.planner import (
-    FULL_USAGE,
+    HIGH_USAGE,
     STANDBYS_PER_MODEL,
     DomainView,
     ServingGroup,
@@ -25,20 +25,20 @@
 
 # Groups of a model that may be lost at any moment: the others have to bear its work. Two,
 # since a second one may fail while the first is under repair.
-RESERVE = 2
+RESERVE_GROUPS = 2
 # The share of places in use above which a model is crowded, and below which it is so no more.
 # With one limit of 0.45, moves in bursts took groups that were missed when hosts were lost in
 # turn (0.06 of a day's worth on one of two such days of 48 hosts). At 0.66, a fifth of the
 # requests was late on a site of 162 hosts.
-CROWDED = 0.6
-RELIEVED = 0.45
+CROWDED_USAGE = 0.6
+RELIEVED_USAGE = 0.45
 # A move has to lower the cost by this share: meanwhile its hosts serve no caller for two to
 # four seconds, so a smaller gain is lost on those who wait.
-MOVE_GAIN = 0.2
+MIN_MOVE_GAIN = 0.2
 # Moves under way at a time; each is followed by what it changes within some seconds.
-MOVES_AT_ONCE = 3
+MAX_CONCURRENT_MOVES = 3
 # Callers hardly wait at half of the places and long at nearly all; a cube weighs them so.
-COST_POWER = 3
+COST_EXPONENT = 3
 
 
 @dataclass(frozen=True)
@@ -70,7 +70,7 @@
         >>> work.reserve("wide"), work.reserve("narrow"), Workload(24, {}).reserve("wide")
         (4, 2, 2)
         """
-        return max(RESERVE, self.hall_groups.get(model, 0))
+        return max(RESERVE_GROUPS, self.hall_groups.get(model, 0))
 
     def crowding(self, model: str, groups: int) -> float:
         """Return the share of a model's places in use once the reserve is lost.
@@ -82,12 +82,14 @@
         >>> work.crowding("wide", 4), work.crowding("narrow", 10)
         (0.5, 1.0)
         """
-        spared = max(groups - self.reserve(model), groups / (1 + RESERVE), 1 / (1 + self.slots))
+        spared = max(
+            groups - self.reserve(model), groups / (1 + RESERVE_GROUPS), 1 / (1 + self.slots)
+        )
         return self.places.get(model, 0.0) / (self.slots * spared)
 
     def cost(self, model: str, groups: int) -> float:
         """Return how much the requests of a model wait, in no unit."""
-        return self.places.get(model, 0.0) * self.crowding(model, groups) ** COST_POWER
+        return self.places.get(model, 0.0) * self.crowding(model, groups) ** COST_EXPONENT
 
     def usage(self, model: str, groups: int) -> float:
         """Return the share of a model's places in use."""
@@ -168,7 +170,7 @@
     totals = total_groups(views)
 
     def is_crowded(model: str) -> bool:
-        limit = RELIEVED if model in before else CROWDED
+        limit = RELIEVED_USAGE if model in before else CROWDED_USAGE
         return work.usage(model, totals[model]) > limit
 
     return frozenset(filter(is_crowded, work.places))
@@ -228,7 +230,7 @@
 
 def _kept(own: dict[str, int], work: Workload, model: EngineModel, count: int) -> int:
     """Return how many hosts of a domain a further group of a model leaves for standbys."""
-    if own[model.name] == 0 or work.usage(model.name, count) > FULL_USAGE:
+    if own[model.name] == 0 or work.usage(model.name, count) > HIGH_USAGE:
         return 0
     return STANDBYS_PER_MODEL * len(own)
 
@@ -279,7 +281,7 @@
             # Groups of the model that gives way should remain in many halls.
             in_hall = by_hall[view.hall][move.from_model]
             rank = (move.is_ready, -then, in_hall, view.name)
-            if then <= (1 - MOVE_GAIN) * now and (best is None or rank > best[0]):
+            if then <= (1 - MIN_MOVE_GAIN) * now and (best is None or rank > best[0]):
                 best = (rank, move)
     return None if best is None else best[1]
 
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -31,8 +31,8 @@
 from mulleinreach.gateway.known.upstreams import Head, collect_groups, open_heads
 from mulleinreach.gateway.model import Service
 
-TICK_S = 0.1
-MIN_TICK_S = 0.03
+MAX_PASS_INTERVAL_S = 0.1
+MIN_PASS_INTERVAL_S = 0.03
 
 
 @dataclass(frozen=True)
@@ -119,10 +119,10 @@
                 self._halls.look(self._open_heads())
                 for service in self._model_services():
                     self._look_at(service)
-                await asyncio.sleep(MIN_TICK_S)
+                await asyncio.sleep(MIN_PASS_INTERVAL_S)
                 self._duties.wake.clear()
                 try:
-                    async with asyncio.timeout(TICK_S):
+                    async with asyncio.timeout(MAX_PASS_INTERVAL_S):
                         await self._duties.wake.wait()
                 except TimeoutError:
                     continue
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -34,12 +34,12 @@
 from mulleinreach.gateway.upstream import MemberState, Upstream, group_name
 
 EPOCHS_PER_TOKEN = 1_000_000
-ORDER_TRIES = 4
+MAX_ORDER_ATTEMPTS = 4
 PROBE_TIMEOUT_S = 0.25
-POLL_S = 0.4
+POLL_INTERVAL_S = 0.4
 OPEN_TIMEOUT_S = 2.0
 # A step that should take longer waits for weights, and is followed by the list alone.
-QUICK_PATIENCE_S = 3.0
+QUICK_STEP_TIMEOUT_S = 3.0
 # Reports may be a little older than the engines' settings say.
 REPORT_LAG_MARGIN_S = 0.05
 
@@ -198,7 +198,7 @@
         A host that wants rest still gets a first order, since groups wait for it; it gets none
         again and again.
         """
-        for number in range(ORDER_TRIES):
+        for number in range(MAX_ORDER_ATTEMPTS):
             self._check_lease()
             if self._hosts.is_lost(host.id) or (number and self._is_resting(host.id)):
                 return
@@ -232,7 +232,9 @@
             self._take_result("open", head, group.name, result)
             if isinstance(result, Rejected):
                 return Outcome.FAILED
-            if await self._wait_until(lambda: self._is_open(head.id, group), [head], POLL_S * 2):
+            if await self._wait_until(
+                lambda: self._is_open(head.id, group), [head], POLL_INTERVAL_S * 2
+            ):
                 self._log.event("group_open", group=group.name, head=head.id)
                 return Outcome.DONE
             if self._is_resting(head.id):
@@ -304,7 +306,7 @@
 
     async def _wait_until(self, holds, members: list[Upstream], patience_s: float) -> bool:
         """Wait until hosts say what is hoped for; ask them when their list is silent."""
-        is_quick = patience_s < QUICK_PATIENCE_S
+        is_quick = patience_s < QUICK_STEP_TIMEOUT_S
         self._waits += is_quick
         try:
             return await self._wait_for_hosts(holds, members, patience_s, is_quick)
@@ -321,7 +323,7 @@
             if remaining_s <= 0 or any(self._hosts.is_lost(m.id) for m in members):
                 return False
             try:
-                async with asyncio.timeout(min(POLL_S, remaining_s)):
+                async with asyncio.timeout(min(POLL_INTERVAL_S, remaining_s)):
                     await changed.wait()
             except TimeoutError:
                 if is_quick:
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -34,23 +34,23 @@
 
 # A busy group gives some caller a byte every few tens of milliseconds. Callers wait for what
 # stands still, so no longer than it takes until a group by itself is suspected.
-HEADS_STILL_S = 0.3
+STALLED_HEAD_S = 0.3
 # Three reports where there are many nodes. A single node that is short of processor time
 # may be as late, but not all nodes of a hall at once.
-NODES_SILENT_S = 0.6
+SILENT_NODES_S = 0.6
 # One group may stand still for a lost member; two at once are no accident of one group.
-LEAST_HEADS = 2
+MIN_STALLED_HEADS = 2
 # Where no node tells of the hall, heads alone must stand still for longer than a report or a
 # garbage collection is late. Nodes leave a head that stands still a little later (1.3 s).
-HEADS_ALONE_S = 1.0
+LONG_STALLED_HEAD_S = 1.0
 # Nodes report no more often than that, and adding up the loads of all nodes takes time.
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # Callers wait for the places of a hall that is back, and a question costs a host little.
-ASK_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 # A host that is asked may be one that doesn't come back.
-ASKED_AT_ONCE = 2
+HOSTS_PER_PROBE_ROUND = 2
 # Rows that were written just before the failure are heard of by then.
-ROWS_LATE_S = 1.0
+ROW_DELAY_S = 1.0
 NEVER = float("-inf")
 
 
@@ -94,11 +94,11 @@
         >>> HallHealth("a", 6, 0, 3, 3, 0, float("inf")).has_failed()
         True
         """
-        least = min(LEAST_HEADS, self.heads)
+        least = min(MIN_STALLED_HEADS, self.heads)
         if self.moving or not self.heads or self.still < least:
             return False
         if self.nodes:
-            return self.nodes_silent_s >= NODES_SILENT_S
+            return self.nodes_silent_s >= SILENT_NODES_S
         # Nodes pass over heads that stand still, so not all of them have requests.
         return self.long_still >= max(least, self.heads / 2)
 
@@ -153,7 +153,7 @@
         heads : the open groups of all services, those of lost hosts too.
         """
         now = self._clock.now()
-        if now - self._looked_at < LOOK_S:
+        if now - self._looked_at < CHECK_INTERVAL_S:
             return
         self._looked_at = now
         nodes = self._nodes()
@@ -169,7 +169,7 @@
 
         What a silent node told last would show progress that there is no more.
         """
-        heard = [node.report for node in nodes if node.silent_s < NODES_SILENT_S]
+        heard = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
         loads = {load.upstream_id: load for load in sum_loads(heard)}
         lost = {h.upstream.id for h in heads if self._hosts.is_lost(h.upstream.id)}
         return [
@@ -201,7 +201,7 @@
         if self._changed(hall, down):
             self._end(hall, "a row there has changed")
             return
-        if now - down.asked_at >= ASK_EVERY_S:
+        if now - down.asked_at >= PROBE_INTERVAL_S:
             down.asked_at = now
             for host in self._next_asked(down):
                 self._duties.spawn_question(self._ask(hall, host))
@@ -209,7 +209,7 @@
     def _changed(self, hall: str, down: _FailedHall) -> bool:
         """Whether a row there has changed or come; one that goes has merely lapsed."""
         rows = self._hosts.rows_of_hall(hall)
-        if self._clock.now() - down.found_at < ROWS_LATE_S:
+        if self._clock.now() - down.found_at < ROW_DELAY_S:
             down.rows = rows
         return any(down.rows.get(host) != upstream for host, upstream in rows.items())
 
@@ -217,9 +217,9 @@
         """Return the hosts to be asked next, each in its turn, and far from each other."""
         hosts = [upstream for upstream in down.rows.values() if upstream.domain is not None]
         hosts.sort(key=lambda host: (host.domain, host.id))
-        apart = max(1, len(hosts) // ASKED_AT_ONCE)
+        apart = max(1, len(hosts) // HOSTS_PER_PROBE_ROUND)
         first, down.asked = down.asked, down.asked + 1
-        places = range(min(ASKED_AT_ONCE, len(hosts)))
+        places = range(min(HOSTS_PER_PROBE_ROUND, len(hosts)))
         return [hosts[(first + place * apart) % len(hosts)] for place in places]
 
     async def _ask(self, hall: str, host: Upstream) -> None:
@@ -267,8 +267,8 @@
         hall,
         len(heads),
         sum(_is_moving(h.upstream.id, loads) for h in heads),
-        sum(seconds >= HEADS_STILL_S for seconds in still),
-        sum(seconds >= HEADS_ALONE_S for seconds in still),
+        sum(seconds >= STALLED_HEAD_S for seconds in still),
+        sum(seconds >= LONG_STALLED_HEAD_S for seconds in still),
         len(there),
         min(there, default=float("inf")),
     )
@@ -284,7 +284,7 @@
 
 def _is_moving(head: str, loads: dict[str, LoadReport]) -> bool:
     load = loads.get(head)
-    return load is not None and load.silent_s < HEADS_STILL_S
+    return load is not None and load.silent_s < STALLED_HEAD_S
 
 
 def failed_halls(signs: list[HallHealth], own_hall: str) -> list[HallHealth]:
@@ -306,5 +306,5 @@
 
 def _may_have_failed(heads: list[Head], nodes: list[RecentNode]) -> bool:
     """Whether the nodes of some hall are silent, which costs little to see."""
-    alive = {node.report.hall for node in nodes if node.silent_s < NODES_SILENT_S}
+    alive = {node.report.hall for node in nodes if node.silent_s < SILENT_NODES_S}
     return any(head.upstream.hall not in alive for head in heads)
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -10,14 +10,14 @@
 from mulleinreach.gateway.known.upstreams import Group, UpstreamDirectory
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
-LOST_MEMORY_S = 30.0
+LOST_RETENTION_S = 30.0
 # Retiring takes less; what is older concerns a group that is gone from the list.
-RETIRING_MEMORY_S = 8.0
-SLOW_PACE = 1.6
-PACE_MEMORY_S = 3.0
+RETIRING_RETENTION_S = 8.0
+MAX_NORMAL_PACE = 1.6
+MAX_PACE_AGE_S = 3.0
 # By then the list shows that a head has left its group.
-END_SEEN_S = 1.0
-MAX_END_DOUBLINGS = 4
+END_VISIBLE_S = 1.0
+MAX_END_RETRY_DOUBLINGS = 4
 NEVER = float("-inf")
 
 
@@ -151,11 +151,11 @@
     def pace(self, host: str) -> float:
         """Return how many times longer a host's work takes, as it reported lately."""
         pace, reported_at = self._paces.get(host, (1.0, 0.0))
-        return pace if self._clock.now() - reported_at < PACE_MEMORY_S else 1.0
+        return pace if self._clock.now() - reported_at < MAX_PACE_AGE_S else 1.0
 
     def is_slow(self, host: str) -> bool:
         """Whether a host reported lately that its work takes much longer than usual."""
-        return self.pace(host) > SLOW_PACE
+        return self.pace(host) > MAX_NORMAL_PACE
 
     def mark_lost(self, host: str) -> None:
         """Note that a host gives no answer."""
@@ -177,7 +177,7 @@
 
     def lost_alone(self) -> list[str]:
         """Return the hosts that were found to give no answer, each by itself."""
-        oldest = self._clock.now() - LOST_MEMORY_S
+        oldest = self._clock.now() - LOST_RETENTION_S
         self._lost_at = {h: at for h, at in self._lost_at.items() if at > oldest}
         return list(self._lost_at)
 
@@ -308,7 +308,7 @@
 
     def retiring_heads(self) -> list[str]:
         """Return the heads of the groups that take nothing new."""
-        oldest = self._clock.now() - RETIRING_MEMORY_S
+        oldest = self._clock.now() - RETIRING_RETENTION_S
         self._retiring = {key: r for key, r in self._retiring.items() if r.since > oldest}
         return [retiring.head for retiring in self._retiring.values()]
 
@@ -370,8 +370,8 @@
         Orders that were taken and change nothing are given ever more rarely.
         """
         ended = self._ended[key]
-        doublings = min(ended.tries - 1, MAX_END_DOUBLINGS)
-        return self._clock.now() - ended.ended_at >= END_SEEN_S * 2**doublings
+        doublings = min(ended.tries - 1, MAX_END_RETRY_DOUBLINGS)
+        return self._clock.now() - ended.ended_at >= END_VISIBLE_S * 2**doublings
 
     def head_of(self, key: tuple[str, int]) -> Upstream | None:
         """Return the head that a group was seen with, listed or not."""
--- a/mulleinreach/gateway/fleet/moving.py
+++ b/mulleinreach/gateway/fleet/moving.py
@@ -16,7 +16,7 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.fleet.allocation import (
-    MOVES_AT_ONCE,
+    MAX_CONCURRENT_MOVES,
     Move,
     Workload,
     allocate,
@@ -30,12 +30,12 @@
 
 # A model has to be crowded for so long before hosts move to it: a group that is under repair
 # is back by then.
-WANTED_S = 1.5
+MIN_WANTED_S = 1.5
 # Hosts of a model that others have just moved to stay for so long: bursts last that long, and
 # a domain that moves there and back serves less than one that stays.
-STAY_S = 10.0
+MOVE_COOLDOWN_S = 10.0
 # A retiring group ends within 3.5 s, joins from staged weights take 1 to 2 s, opening 0.3 s.
-MOVE_S = 8.0
+MOVE_TIMEOUT_S = 8.0
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,7 @@
         if not self._crowded:
             self._wanted_since.clear()
             return targets
-        while places and self._may_begin() and len(self._underway) < MOVES_AT_ONCE:
+        while places and self._may_begin() and len(self._underway) < MAX_CONCURRENT_MOVES:
             move = self._next_move(counted, targets, engine, work)
             if move is None:
                 break
@@ -131,13 +131,13 @@
     ) -> Move | None:
         """Return a move that can begin at once and has been wanted for long enough."""
         now = self._clock.now()
-        staying = {model for model, at in self._moved_at.items() if now - at < STAY_S}
+        staying = {model for model, at in self._moved_at.items() if now - at < MOVE_COOLDOWN_S}
         repaired = [_with_repairs(view, targets[view.name], engine) for view in counted]
         resting = [view for view in repaired if view.name not in self._underway]
         move = next_move(repaired, resting, engine, work, staying)
         wanted = set() if move is None or not move.is_ready else {move.to_model}
         self._wanted_since = {model: self._wanted_since.get(model, now) for model in wanted}
-        if not wanted or now - self._wanted_since[move.to_model] < WANTED_S:
+        if not wanted or now - self._wanted_since[move.to_model] < MIN_WANTED_S:
             return None
         return move
 
@@ -168,7 +168,7 @@
         return replace(view, groups=groups, serving=serving)
 
     def _begin(self, move: Move) -> None:
-        self._underway[move.domain] = _PendingMove(move, self._clock.now() + MOVE_S)
+        self._underway[move.domain] = _PendingMove(move, self._clock.now() + MOVE_TIMEOUT_S)
         self._moved_at[move.to_model] = self._clock.now()
         for group in move.ended:
             name, epoch = group.place
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -28,11 +28,11 @@
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
 from mulleinreach.gateway.upstream import MemberState, Upstream
 
-QUICK_JOIN_S = 2.5
-LOAD_PATIENCE = 4.0
-LOAD_PATIENCE_MIN_S = 30.0
+QUICK_JOIN_TIMEOUT_S = 2.5
+LOAD_TIMEOUT_FACTOR = 4.0
+MIN_LOAD_TIMEOUT_S = 30.0
 # Longer than a load of usual weights, so that a host which can't load one costs few orders.
-STAGE_AGAIN_S = 15.0
+STAGE_RETRY_DELAY_S = 15.0
 NEVER = float("-inf")
 
 
@@ -166,7 +166,7 @@
             await self._operator.stage(host, plan.model, _load_patience_s(engine, plan.model))
         finally:
             self.gate.end()
-            self._stage_again_at[plan.host] = self._clock.now() + STAGE_AGAIN_S
+            self._stage_again_at[plan.host] = self._clock.now() + STAGE_RETRY_DELAY_S
 
     def _is_incomplete(
         self, engine: EngineProfile, domain: str, groups: dict[tuple[str, int], Group]
@@ -259,7 +259,9 @@
         try:
             is_warm = all(self._hosts.last_model(m.id) == plan.model for m in members)
             model = engine.model(plan.model)
-            patience_s = QUICK_JOIN_S if is_warm else QUICK_JOIN_S + 2 * model.warm_s
+            patience_s = (
+                QUICK_JOIN_TIMEOUT_S if is_warm else QUICK_JOIN_TIMEOUT_S + 2 * model.warm_s
+            )
             group, outcome = await self._operator.join_all(plan.model, members, patience_s)
             if outcome is JoinOutcome.NOT_READY:
                 self._hosts.mark_ended(group, await self._operator.dissolve(group))
@@ -303,4 +305,4 @@
 
 def _load_patience_s(engine: EngineProfile, model: str) -> float:
     """Return how long to wait at most until a host has loaded a model."""
-    return max(LOAD_PATIENCE_MIN_S, LOAD_PATIENCE * engine.model(model).load_s)
+    return max(MIN_LOAD_TIMEOUT_S, LOAD_TIMEOUT_FACTOR * engine.model(model).load_s)
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -15,7 +15,12 @@
     next_move,
 )
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.fleet.moving import MOVE_S, STAY_S, WANTED_S, HostRebalancer
+from mulleinreach.gateway.fleet.moving import (
+    MIN_WANTED_S,
+    MOVE_COOLDOWN_S,
+    MOVE_TIMEOUT_S,
+    HostRebalancer,
+)
 from mulleinreach.gateway.fleet.planner import DomainView, FreeHost, ServingGroup
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
@@ -140,11 +145,11 @@
     async def test():
         mover = _mover(VirtualClock())
         assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
-        await asyncio.sleep(WANTED_S / 2)
+        await asyncio.sleep(MIN_WANTED_S / 2)
         assert _begun(mover, _domains(), EVEN) == set()
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL)
 
     run_virtual(test())
@@ -155,7 +160,7 @@
         mover = _mover(VirtualClock(), may_begin=False)
         for _ in range(20):
             assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
-            await asyncio.sleep(WANTED_S)
+            await asyncio.sleep(MIN_WANTED_S)
 
     run_virtual(test())
 
@@ -187,7 +192,7 @@
         views = [_domain(f"d{n}", f"hall-{n % 3}") for n in range(12)]
         places = {LARGE: 120.0, SMALL: 400.0}
         mover.targets(SERVICE, views, places)
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert bool(_begun(mover, views, places)) is spares_hall
 
     run_virtual(test())
@@ -197,7 +202,7 @@
     async def test():
         mover = _mover(VirtualClock())
         mover.targets(SERVICE, _domains(), FEW_LARGE_MANY_SMALL)
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL)
         mover.end_term()
         assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
@@ -215,7 +220,7 @@
         for _ in range(2):
             second.targets(SERVICE, [], {LARGE: 1.0})
             targets = first.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
-            await asyncio.sleep(WANTED_S)
+            await asyncio.sleep(MIN_WANTED_S)
         targets = first.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
         second.targets(SERVICE, [], {LARGE: 1.0})
         assert any(targets[view.name] != view.groups for view in views)
@@ -230,16 +235,16 @@
         views = [_domain(f"d{n}", "hall", large=0, small=4) for n in range(3)]
         views += [_domain(f"e{n}", "hall") for n in range(5)]
         mover.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
-        await asyncio.sleep(WANTED_S)
-        await asyncio.sleep(MOVE_S)
+        await asyncio.sleep(MIN_WANTED_S)
+        await asyncio.sleep(MOVE_TIMEOUT_S)
         many_large = {LARGE: 200.0, SMALL: 20.0}
         mover._moved_at[SMALL] = asyncio.get_running_loop().time()
         mover.targets(SERVICE, views, many_large)
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert _begun(mover, views, many_large) == set()
-        await asyncio.sleep(STAY_S)
+        await asyncio.sleep(MOVE_COOLDOWN_S)
         mover.targets(SERVICE, views, many_large)
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert _begun(mover, views, many_large)
 
     run_virtual(test())
@@ -266,7 +271,7 @@
         lost = replace(lost, free=_hosts(12, LARGE, SMALL))
         views = [lost, *whole[1:]]
         mover.targets(SERVICE, views, small)
-        await asyncio.sleep(WANTED_S)
+        await asyncio.sleep(MIN_WANTED_S)
         assert _begun(mover, views, small) == {"d0"}
 
     run_virtual(test())
--- a/mulleinreach/gateway/fleet/usage.py
+++ b/mulleinreach/gateway/fleet/usage.py
@@ -10,11 +10,11 @@
 from mulleinreach.gateway.model import EngineProfile
 
 # Plans should follow what lasts: a load takes over ten seconds, a wave of requests less.
-SMOOTHING_S = 3.0
+MAX_SMOOTHING_S = 3.0
 # Workload is unknown until streams have begun and ended for a while; what was seen by then counts
 # as if it had lasted for half of the time.
-SETTLED_S = 2.0
-SHORTEST_SMOOTHING_S = 0.3
+MIN_OBSERVED_S = 2.0
+MIN_SMOOTHING_S = 0.3
 # What a model counts that has no open group: more than one whose places are all taken.
 NO_GROUP_USAGE = 2.0
 
@@ -54,11 +54,11 @@
                 _blend(self._places, model.name, places, weight)
 
     def _smoothing_s(self, now: float) -> float:
-        return min(max(SHORTEST_SMOOTHING_S, (now - self._began_at) / 2), SMOOTHING_S)
+        return min(max(MIN_SMOOTHING_S, (now - self._began_at) / 2), MAX_SMOOTHING_S)
 
     def is_settled(self) -> bool:
         """Whether requests have run for long enough to tell the work by."""
-        return self._began_at is not None and self._noted_at - self._began_at >= SETTLED_S
+        return self._began_at is not None and self._noted_at - self._began_at >= MIN_OBSERVED_S
 
     def by_model(self) -> dict[str, float]:
         """Return the share of places in use by model; empty before the first requests."""
--- a/mulleinreach/gateway/fleet/watch.py
+++ b/mulleinreach/gateway/fleet/watch.py
@@ -9,7 +9,7 @@
 from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import (
-    SLOW_PACE,
+    MAX_NORMAL_PACE,
     HostRegistry,
     is_serving,
     is_standby,
@@ -22,19 +22,19 @@
 from mulleinreach.gateway.ports import Unavailable
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState
 
-SILENCE_SUSPECT_S = 0.3
-CHECK_AGAIN_S = 0.8
+SUSPECT_STALL_S = 0.3
+MEMBER_CHECK_INTERVAL_S = 0.8
 SLOW_PROBE_TIMEOUT_S = 0.5
-RECHECK_LOST_S = 1.0
-UNFINISHED_S = 4.0
+LOST_CHECK_INTERVAL_S = 1.0
+MAX_UNFINISHED_S = 4.0
 # A host that drains stays for three seconds, and longer while its group has work.
 # Requests that were sent before all nodes knew are on their way for some time.
 # Letting groups finish is worth 0.005 of a day's worth where upstreams are released in turn
 # (nine days), and nothing measurable elsewhere; it cuts no stream of a planned leave.
-RETIRE_LONGEST_S = 3.5
-RETIRE_SHORTEST_S = 0.5
+MAX_RETIRING_S = 3.5
+MIN_RETIRING_S = 0.5
 # The list drops hosts at times while the store is down; a heartbeat brings them back.
-HEAD_ABSENT_S = 1.5
+MAX_HEAD_ABSENCE_S = 1.5
 
 
 class GroupMonitor:
@@ -95,7 +95,7 @@
             self._look_at_headless(key, group, model)
         elif is_serving(group):
             load = loads.get(head.id)
-            is_silent = load is not None and load.stalled_s > SILENCE_SUSPECT_S
+            is_silent = load is not None and load.stalled_s > SUSPECT_STALL_S
             is_missing = not (group.is_whole(model.size) or self._hosts.is_settling())
             if self._hosts.has_lost_member(group):
                 self._spawn_dissolve(group, model, "a member is lost")
@@ -125,7 +125,7 @@
         """End a group that takes nothing new once its work is done, or takes too long."""
         retiring_s = self._hosts.retiring_for_s(key)
         is_idle = load is None or load.running == 0
-        if retiring_s > RETIRE_LONGEST_S or (is_idle and retiring_s > RETIRE_SHORTEST_S):
+        if retiring_s > MAX_RETIRING_S or (is_idle and retiring_s > MIN_RETIRING_S):
             self._spawn_dissolve(group, model, "it has retired")
 
     def _is_stuck(self, key: tuple[str, int], group: Group, model: EngineModel) -> bool:
@@ -135,7 +135,7 @@
             return True
         if not group.is_whole(model.size):
             return not self._hosts.is_settling()
-        return self._clock.now() - since > UNFINISHED_S
+        return self._clock.now() - since > MAX_UNFINISHED_S
 
     def _look_at_headless(self, key: tuple[str, int], group: Group, model: EngineModel) -> None:
         """End a group whose head is off the list: no node may send anything there.
@@ -147,8 +147,8 @@
             return
         if self._hosts.is_settling():
             return
-        absent_s = HEAD_ABSENT_S if head is None else self._hosts.delisted_for_s(head.id)
-        if absent_s >= HEAD_ABSENT_S:
+        absent_s = MAX_HEAD_ABSENCE_S if head is None else self._hosts.delisted_for_s(head.id)
+        if absent_s >= MAX_HEAD_ABSENCE_S:
             self._spawn_dissolve(group, model, "the head is off the list")
 
     def _has_ended(self, key: tuple[str, int], group: Group) -> bool:
@@ -182,7 +182,7 @@
 
     def _slow(self, key: tuple[str, int], group: Group, model: EngineModel) -> list[Upstream]:
         """Return the slow members of a group; one that was slow is asked again."""
-        if self.pace(key) <= SLOW_PACE:
+        if self.pace(key) <= MAX_NORMAL_PACE:
             return []
         self._check(key, group, model, "slow")
         return [m for m in group.members.values() if self._hosts.is_slow(m.id)]
@@ -203,7 +203,7 @@
     def _check(self, key: tuple[str, int], group: Group, model: EngineModel, why: str) -> None:
         """Ask a group's members for their state, at most once in a while."""
         now = self._clock.now()
-        if now - self._checked_at.get(key, float("-inf")) < CHECK_AGAIN_S:
+        if now - self._checked_at.get(key, float("-inf")) < MEMBER_CHECK_INTERVAL_S:
             return
         self._checked_at[key] = now
         self._duties.spawn_question(self._check_members(group, model, why))
@@ -226,7 +226,7 @@
             self._hosts.mark_lost(host)
         key = (group.name, group.epoch)
         self._paces[key] = max((self._hosts.pace(m.id) for m in members), default=1.0)
-        if self._paces[key] > SLOW_PACE:
+        if self._paces[key] > MAX_NORMAL_PACE:
             await self._probe_spares(group, model)
         self._log.event(
             "group_checked",
@@ -246,7 +246,7 @@
         """Whether requests at a group's head go on, which shows that it is whole."""
         for load in self._loads():
             if group.head is not None and load.upstream_id == group.head.id:
-                return load.running > 0 and load.silent_s < SILENCE_SUSPECT_S
+                return load.running > 0 and load.silent_s < SUSPECT_STALL_S
         return False
 
     def _members_ever_known(self, group: Group) -> list[Upstream]:
@@ -277,6 +277,6 @@
                 continue
             if self._hosts.is_in_down_hall(host):
                 continue
-            if now - self._rechecked_at.get(host, float("-inf")) > RECHECK_LOST_S:
+            if now - self._rechecked_at.get(host, float("-inf")) > LOST_CHECK_INTERVAL_S:
                 self._rechecked_at[host] = now
                 self._duties.spawn_question(self._operator.probe(known))
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.common import VirtualClock
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.fleet.loads import WINDOW_S, WeightLoadLimiter
+from mulleinreach.gateway.fleet.loads import RATE_WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import EXTRA_RESUMES
 from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
@@ -107,8 +107,8 @@
                 begun.append(clock.now())
                 asyncio.get_running_loop().call_later(0.3, gate.end)
             await asyncio.sleep(0.01)
-        most = _most_in_window(begun, WINDOW_S)
-        assert 0 < most <= PROFILE.loads_per_s * WINDOW_S * CEILING_OVERAGE
+        most = _most_in_window(begun, RATE_WINDOW_S)
+        assert 0 < most <= PROFILE.loads_per_s * RATE_WINDOW_S * CEILING_OVERAGE
 
     run_virtual(test())
 
