--- a/mulleinreach/gateway/fleet/allocation.py
+++ b/mulleinreach/gateway/fleet/allocation.py
@@ -4,7 +4,7 @@
 ===========
 
 While no model is crowded, each domain keeps a group of each model. Once one is, what
-counts is how much longer its requests wait: hosts go where they shorten that most, and
+counts is how much longer its requests wait: hosts go where they shorten that max_ended, and
 groups of a model that has places to spare give way to those of the crowded one.
 """
 
@@ -49,16 +49,16 @@
     ==========
 
     slots : places of a group.
-    places : places that requests of each model hold or wait for; empty before the first ones.
+    demand : demand that requests of each model hold or wait for; empty before the first ones.
     crowded : the models whose requests often wait, since so many of their places are in use.
-    hall_groups : the groups of each model in the hall that has most of them; empty where no
+    max_hall_groups : the groups of each model in the hall that has most of them; empty where no
         hall may be lost.
     """
 
     slots: int
-    places: dict[str, float]
+    demand: dict[str, float]
     crowded: frozenset[str] = frozenset()
-    hall_groups: Mapping[str, int] = field(default_factory=dict)
+    max_hall_groups: Mapping[str, int] = field(default_factory=dict)
 
     def reserve(self, model: str) -> int:
         """Return how many groups of a model may be lost at any moment.
@@ -66,34 +66,36 @@
         Examples
         ========
 
-        >>> work = Workload(24, {}, hall_groups={"wide": 4, "narrow": 1})
-        >>> work.reserve("wide"), work.reserve("narrow"), Workload(24, {}).reserve("wide")
+        >>> workload = Workload(24, {}, max_hall_groups={"wide": 4, "narrow": 1})
+        >>> workload.reserve("wide"), workload.reserve("narrow"), Workload(24, {}).reserve("wide")
         (4, 2, 2)
         """
-        return max(RESERVE_GROUPS, self.hall_groups.get(model, 0))
+        return max(RESERVE_GROUPS, self.max_hall_groups.get(model, 0))
 
-    def crowding(self, model: str, groups: int) -> float:
+    def usage_without_reserve(self, model: str, groups: int) -> float:
         """Return the share of a model's places in use once the reserve is lost.
 
         Examples
         ========
 
-        >>> work = Workload(24, {"wide": 24, "narrow": 192})
-        >>> work.crowding("wide", 4), work.crowding("narrow", 10)
+        >>> workload = Workload(24, {"wide": 24, "narrow": 192})
+        >>> workload.usage_without_reserve("wide", 4), workload.usage_without_reserve("narrow", 10)
         (0.5, 1.0)
         """
-        spared = max(
+        remaining = max(
             groups - self.reserve(model), groups / (1 + RESERVE_GROUPS), 1 / (1 + self.slots)
         )
-        return self.places.get(model, 0.0) / (self.slots * spared)
+        return self.demand.get(model, 0.0) / (self.slots * remaining)
 
     def cost(self, model: str, groups: int) -> float:
         """Return how much the requests of a model wait, in no unit."""
-        return self.places.get(model, 0.0) * self.crowding(model, groups) ** COST_EXPONENT
+        return (
+            self.demand.get(model, 0.0) * self.usage_without_reserve(model, groups) ** COST_EXPONENT
+        )
 
     def usage(self, model: str, groups: int) -> float:
         """Return the share of a model's places in use."""
-        return self.places.get(model, 0.0) / (self.slots * max(1, groups))
+        return self.demand.get(model, 0.0) / (self.slots * max(1, groups))
 
 
 @dataclass(frozen=True)
@@ -124,21 +126,21 @@
     return totals
 
 
-def groups_in_fullest_hall(views: list[DomainView]) -> dict[str, int]:
+def max_groups_per_hall(views: list[DomainView]) -> dict[str, int]:
     """Return how many groups of each model the hall has that has most of them.
 
     Examples
     ========
 
     >>> views = [DomainView(n, 8, {"a": 1}, {}, (), hall=h) for n, h in ("dx", "ex", "fy")]
-    >>> groups_in_fullest_hall(views)
+    >>> max_groups_per_hall(views)
     {'a': 2}
     """
-    fullest: dict[str, int] = {}
+    maxima: dict[str, int] = {}
     for groups in _groups_by_hall(views).values():
         for model, count in groups.items():
-            fullest[model] = max(count, fullest.get(model, 0))
-    return fullest
+            maxima[model] = max(count, maxima.get(model, 0))
+    return maxima
 
 
 def _groups_by_hall(views: list[DomainView]) -> dict[str, Counter[str]]:
@@ -149,7 +151,7 @@
 
 
 def crowded_models(
-    views: list[DomainView], work: Workload, before: frozenset[str]
+    views: list[DomainView], workload: Workload, before: frozenset[str]
 ) -> frozenset[str]:
     """Return the models that are crowded now.
 
@@ -171,13 +173,13 @@
 
     def is_crowded(model: str) -> bool:
         limit = RELIEVED_USAGE if model in before else CROWDED_USAGE
-        return work.usage(model, totals[model]) > limit
+        return workload.usage(model, totals[model]) > limit
 
-    return frozenset(filter(is_crowded, work.places))
+    return frozenset(filter(is_crowded, workload.demand))
 
 
 def allocate(
-    views: list[DomainView], engine: EngineProfile, work: Workload
+    views: list[DomainView], engine: EngineProfile, workload: Workload
 ) -> dict[str, dict[str, int]]:
     """Return how many groups of each model each domain should have.
 
@@ -194,23 +196,23 @@
     {'a': 0, 'b': 3}
     """
     totals = total_groups(views)
-    if not work.crowded:
+    if not workload.crowded:
         return {view.name: target_groups(view, engine.models) for view in views}
     targets = {
         view.name: {m.name: view.groups.get(m.name, 0) for m in engine.models} for view in views
     }
-    while choices := list(_additions(views, targets, engine, work, totals)):
+    while choices := list(_candidate_groups(views, targets, engine, workload, totals)):
         _, domain, model = max(choices)
         targets[domain][model] += 1
         totals[model] += 1
     return targets
 
 
-def _additions(
+def _candidate_groups(
     views: list[DomainView],
     targets: dict[str, dict[str, int]],
     engine: EngineProfile,
-    work: Workload,
+    workload: Workload,
     totals: Counter[str],
 ) -> Iterator[tuple[tuple[int, float], str, str]]:
     """Yield what each further group that fits in a domain would bring.
@@ -219,36 +221,40 @@
     """
     for model in engine.models:
         count = totals[model.name]
-        lacking = max(0, work.reserve(model.name) + 1 - count)
-        gain = work.cost(model.name, count) - work.cost(model.name, count + 1)
+        missing = max(0, workload.reserve(model.name) + 1 - count)
+        gain = workload.cost(model.name, count) - workload.cost(model.name, count + 1)
         for view in views:
-            own = targets[view.name]
-            used = sum(own[m.name] * m.size for m in engine.models)
-            if model.size <= view.hosts - used - _kept(own, work, model, count):
-                yield (lacking, gain / model.size), view.name, model.name
+            domain_targets = targets[view.name]
+            used = sum(domain_targets[m.name] * m.size for m in engine.models)
+            if model.size <= view.hosts - used - _reserved_hosts(
+                domain_targets, workload, model, count
+            ):
+                yield (missing, gain / model.size), view.name, model.name
 
 
-def _kept(own: dict[str, int], work: Workload, model: EngineModel, count: int) -> int:
+def _reserved_hosts(
+    domain_targets: dict[str, int], workload: Workload, model: EngineModel, count: int
+) -> int:
     """Return how many hosts of a domain a further group of a model leaves for standbys."""
-    if own[model.name] == 0 or work.usage(model.name, count) > HIGH_USAGE:
+    if domain_targets[model.name] == 0 or workload.usage(model.name, count) > HIGH_USAGE:
         return 0
-    return STANDBYS_PER_MODEL * len(own)
+    return STANDBYS_PER_MODEL * len(domain_targets)
 
 
 def next_move(
     views: list[DomainView],
-    resting: list[DomainView],
+    movable: list[DomainView],
     engine: EngineProfile,
-    work: Workload,
-    staying: Collection[str] = (),
+    workload: Workload,
+    cooling_down: Collection[str] = (),
 ) -> Move | None:
-    """Return the move that lowers the cost most, if one is worth it.
+    """Return the move that lowers the cost max_ended, if one is worth it.
 
     Parameters
     ==========
 
-    resting : the domains in which a move may begin.
-    staying : models whose groups give way only to one that is down to its reserve.
+    movable : the domains in which a move may begin.
+    cooling_down : models whose groups give way only to one that is down to its reserve.
 
     Examples
     ========
@@ -268,64 +274,68 @@
     """
     totals = total_groups(views)
     by_hall = _groups_by_hall(views)
-    now = _cost(work, engine, totals)
+    cost_before = _cost(workload, engine, totals)
     best: tuple[tuple, Move] | None = None
-    for view in resting:
-        for move in _moves_in(view, engine, work, totals):
-            if move.from_model in staying and totals[move.to_model] > work.reserve(move.to_model):
+    for view in movable:
+        for move in _moves_in(view, engine, workload, totals):
+            if move.from_model in cooling_down and totals[move.to_model] > workload.reserve(
+                move.to_model
+            ):
                 continue
             after = totals.copy()
             after[move.from_model] -= len(move.ended)
             after[move.to_model] += move.count - view.groups.get(move.to_model, 0)
-            then = _cost(work, engine, after)
+            cost_after = _cost(workload, engine, after)
             # Groups of the model that gives way should remain in many halls.
             in_hall = by_hall[view.hall][move.from_model]
-            rank = (move.is_ready, -then, in_hall, view.name)
-            if then <= (1 - MIN_MOVE_GAIN) * now and (best is None or rank > best[0]):
+            rank = (move.is_ready, -cost_after, in_hall, view.name)
+            if cost_after <= (1 - MIN_MOVE_GAIN) * cost_before and (best is None or rank > best[0]):
                 best = (rank, move)
     return None if best is None else best[1]
 
 
-def _cost(work: Workload, engine: EngineProfile, totals: Counter[str]) -> float:
-    return sum(work.cost(model.name, totals[model.name]) for model in engine.models)
+def _cost(workload: Workload, engine: EngineProfile, totals: Counter[str]) -> float:
+    return sum(workload.cost(model.name, totals[model.name]) for model in engine.models)
 
 
 def _moves_in(
-    view: DomainView, engine: EngineProfile, work: Workload, totals: Counter[str]
+    view: DomainView, engine: EngineProfile, workload: Workload, totals: Counter[str]
 ) -> Iterator[Move]:
     """Yield the smallest moves in one domain that help a crowded model."""
-    for to in engine.models:
-        if to.name not in work.crowded:
+    for target in engine.models:
+        if target.name not in workload.crowded:
             continue
-        for giving in engine.models:
+        for source in engine.models:
             # The last groups of a model stay, even if nobody asks for it at the moment.
-            most = totals[giving.name] - work.reserve(giving.name) - 1
-            if giving is to or most < 1:
+            max_ended = totals[source.name] - workload.reserve(source.name) - 1
+            if source is target or max_ended < 1:
                 continue
-            move = _smallest_move(view, giving, to, most)
+            move = _smallest_move(view, source, target, max_ended)
             if move is not None:
                 yield move
 
 
 def _smallest_move(
-    view: DomainView, giving: EngineModel, to: EngineModel, most: int
+    view: DomainView, source: EngineModel, target: EngineModel, max_ended: int
 ) -> Move | None:
     """Return the move that ends the fewest groups of a model for a group of another one.
 
     Parameters
     ==========
 
-    most : how many groups may be ended.
+    max_ended : how many groups may be ended.
     """
-    ending = [group for group in view.serving if group.model == giving.name]
-    ending.sort(key=lambda group: -sum(host.holds(to.name) for host in group.members))
+    candidates = [group for group in view.serving if group.model == source.name]
+    candidates.sort(key=lambda group: -sum(host.holds(target.name) for host in group.members))
     hosts = list(view.free)
-    for number, group in enumerate(ending[:most], 1):
+    for number, group in enumerate(candidates[:max_ended], 1):
         hosts += group.members
-        formed = max((len(hosts) - STANDBYS_PER_MODEL) // to.size, min(1, len(hosts) // to.size))
+        formed = max(
+            (len(hosts) - STANDBYS_PER_MODEL) // target.size, min(1, len(hosts) // target.size)
+        )
         if formed:
-            count = view.groups.get(to.name, 0) + formed
-            is_ready = sum(host.holds(to.name) for host in hosts) >= formed * to.size
-            ended = tuple(ending[:number])
-            return Move(view.name, giving.name, to.name, ended, count, is_ready)
+            count = view.groups.get(target.name, 0) + formed
+            is_ready = sum(host.holds(target.name) for host in hosts) >= formed * target.size
+            ended = tuple(candidates[:number])
+            return Move(view.name, source.name, target.name, ended, count, is_ready)
     return None
--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -20,19 +20,19 @@
         self._tasks = TaskGroup()
         self.wake = asyncio.Event()
 
-    def spawn(self, duty: Coroutine, hosts: Iterable[Upstream]) -> None:
+    def spawn(self, task: Coroutine, hosts: Iterable[Upstream]) -> None:
         """Run a duty that no other one may disturb on these hosts."""
         taken = {host.id for host in hosts}
         self._hosts.busy |= taken
-        self._tasks.spawn(self._guarded(duty, taken))
+        self._tasks.spawn(self._guarded(task, taken))
 
-    def spawn_question(self, question: Coroutine) -> None:
+    def spawn_probe(self, probe: Coroutine) -> None:
         """Ask hosts something, which disturbs no duty."""
-        self._tasks.spawn(question)
+        self._tasks.spawn(probe)
 
-    async def _guarded(self, duty: Coroutine, taken: set[str]) -> None:
+    async def _guarded(self, task: Coroutine, taken: set[str]) -> None:
         try:
-            await duty
+            await task
         except LeaseLost:
             self._log.event("order_withheld", why="the lease has ended")
         finally:
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -62,18 +62,18 @@
     ==========
 
     heads : open groups there.
-    moving : those that gave a byte of an answer lately.
-    still : those whose requests stand still, or that were found to be lost.
-    long_still : those of the latter that have stood still for so long that they tell alone.
+    progressing : those that gave a byte of an answer lately.
+    stalled : those whose requests stand still, or that were found to be lost.
+    long_stalled : those of the latter that have stood still for so long that they tell alone.
     nodes : nodes there that were heard in the last seconds.
     nodes_silent_s : time since any of them was heard; infinite without one.
     """
 
     hall: str
     heads: int
-    moving: int
-    still: int
-    long_still: int
+    progressing: int
+    stalled: int
+    long_stalled: int
     nodes: int
     nodes_silent_s: float
 
@@ -95,27 +95,27 @@
         True
         """
         least = min(MIN_STALLED_HEADS, self.heads)
-        if self.moving or not self.heads or self.still < least:
+        if self.progressing or not self.heads or self.stalled < least:
             return False
         if self.nodes:
             return self.nodes_silent_s >= SILENT_NODES_S
         # Nodes pass over heads that stand still, so not all of them have requests.
-        return self.long_still >= max(least, self.heads / 2)
+        return self.long_stalled >= max(least, self.heads / 2)
 
 
 @dataclass
 class _FailedHall:
     """A hall that has failed, and the rows of its upstreams as they stood last."""
 
-    found_at: float
+    failed_at: float
     rows: dict[str, Upstream]
     # When hosts there were asked last, and how often: it decides which ones are next.
-    asked_at: float = NEVER
-    asked: int = 0
+    probed_at: float = NEVER
+    probe_rounds: int = 0
 
 
 class HallMonitor:
-    """Looks at all halls, and tells :class:`HostRegistry` which ones are down.
+    """Looks at all halls, and tells :class:`HostRegistry` which ones are failure.
 
     Parameters
     ==========
@@ -129,7 +129,7 @@
         own_hall: str,
         hosts: HostRegistry,
         operator: GroupOperator,
-        duties: HostTasks,
+        host_tasks: HostTasks,
         nodes: Callable[[], list[RecentNode]],
         clock: Clock,
         log: EventLog,
@@ -137,14 +137,14 @@
         self._own_hall = own_hall
         self._hosts = hosts
         self._operator = operator
-        self._duties = duties
+        self._host_tasks = host_tasks
         self._nodes = nodes
         self._clock = clock
         self._log = log
-        self._looked_at = NEVER
-        self._down: dict[str, _FailedHall] = {}
+        self._checked_at = NEVER
+        self._failures: dict[str, _FailedHall] = {}
 
-    def look(self, heads: Iterable[Head]) -> None:
+    def check_halls(self, heads: Iterable[Head]) -> None:
         """Decide which halls are down.
 
         Parameters
@@ -153,18 +153,18 @@
         heads : the open groups of all services, those of lost hosts too.
         """
         now = self._clock.now()
-        if now - self._looked_at < CHECK_INTERVAL_S:
+        if now - self._checked_at < CHECK_INTERVAL_S:
             return
-        self._looked_at = now
+        self._checked_at = now
         nodes = self._nodes()
-        for hall, down in list(self._down.items()):
-            self._look_whether_back(hall, down, nodes)
-        up = [head for head in heads if head.upstream.hall not in self._down]
-        if _may_have_failed(up, nodes):
-            for signs in failed_halls(self._signs(up, nodes), self._own_hall):
-                self._begin(signs)
-
-    def _signs(self, heads: list[Head], nodes: list[RecentNode]) -> list[HallHealth]:
+        for hall, failure in list(self._failures.items()):
+            self._check_recovery(hall, failure, nodes)
+        running = [head for head in heads if head.upstream.hall not in self._failures]
+        if _may_have_failed(running, nodes):
+            for health in failed_halls(self._hall_health(running, nodes), self._own_hall):
+                self._mark_down(health)
+
+    def _hall_health(self, heads: list[Head], nodes: list[RecentNode]) -> list[HallHealth]:
         """Return the signs of all halls with open groups.
 
         What a silent node told last would show progress that there is no more.
@@ -177,72 +177,74 @@
             for hall in sorted({h.upstream.hall for h in heads})
         ]
 
-    def _begin(self, signs: HallHealth) -> None:
+    def _mark_down(self, health: HallHealth) -> None:
         now = self._clock.now()
-        self._down[signs.hall] = _FailedHall(now, self._hosts.rows_of_hall(signs.hall))
-        self._hosts.mark_hall_down(signs.hall)
+        self._failures[health.hall] = _FailedHall(now, self._hosts.upstreams_in_hall(health.hall))
+        self._hosts.mark_hall_down(health.hall)
         self._log.event(
             "hall_down",
-            hall=signs.hall,
-            heads=signs.heads,
-            still=signs.still,
-            long_still=signs.long_still,
-            nodes=signs.nodes,
-            nodes_silent_s=round(signs.nodes_silent_s, 2),
-            upstreams=len(self._down[signs.hall].rows),
+            hall=health.hall,
+            heads=health.heads,
+            still=health.stalled,
+            long_still=health.long_stalled,
+            nodes=health.nodes,
+            nodes_silent_s=round(health.nodes_silent_s, 2),
+            upstreams=len(self._failures[health.hall].rows),
         )
 
-    def _look_whether_back(self, hall: str, down: _FailedHall, nodes: list[RecentNode]) -> None:
+    def _check_recovery(self, hall: str, failure: _FailedHall, nodes: list[RecentNode]) -> None:
         now = self._clock.now()
-        reported = [n for n in nodes if n.report.hall == hall and now - n.silent_s > down.found_at]
+        reported = [
+            n for n in nodes if n.report.hall == hall and now - n.silent_s > failure.failed_at
+        ]
         if reported:
-            self._end(hall, "a node there reports")
+            self._mark_up(hall, "a node there reports")
             return
-        if self._changed(hall, down):
-            self._end(hall, "a row there has changed")
+        if self._has_changed(hall, failure):
+            self._mark_up(hall, "a row there has changed")
             return
-        if now - down.asked_at >= PROBE_INTERVAL_S:
-            down.asked_at = now
-            for host in self._next_asked(down):
-                self._duties.spawn_question(self._ask(hall, host))
+        if now - failure.probed_at >= PROBE_INTERVAL_S:
+            failure.probed_at = now
+            for host in self._next_probed(failure):
+                self._host_tasks.spawn_probe(self._probe(hall, host))
 
-    def _changed(self, hall: str, down: _FailedHall) -> bool:
+    def _has_changed(self, hall: str, failure: _FailedHall) -> bool:
         """Whether a row there has changed or come; one that goes has merely lapsed."""
-        rows = self._hosts.rows_of_hall(hall)
-        if self._clock.now() - down.found_at < ROW_DELAY_S:
-            down.rows = rows
-        return any(down.rows.get(host) != upstream for host, upstream in rows.items())
+        rows = self._hosts.upstreams_in_hall(hall)
+        if self._clock.now() - failure.failed_at < ROW_DELAY_S:
+            failure.rows = rows
+        return any(failure.rows.get(host) != upstream for host, upstream in rows.items())
 
-    def _next_asked(self, down: _FailedHall) -> list[Upstream]:
+    def _next_probed(self, failure: _FailedHall) -> list[Upstream]:
         """Return the hosts to be asked next, each in its turn, and far from each other."""
-        hosts = [upstream for upstream in down.rows.values() if upstream.domain is not None]
+        hosts = [upstream for upstream in failure.rows.values() if upstream.domain is not None]
         hosts.sort(key=lambda host: (host.domain, host.id))
-        apart = max(1, len(hosts) // HOSTS_PER_PROBE_ROUND)
-        first, down.asked = down.asked, down.asked + 1
-        places = range(min(HOSTS_PER_PROBE_ROUND, len(hosts)))
-        return [hosts[(first + place * apart) % len(hosts)] for place in places]
+        stride = max(1, len(hosts) // HOSTS_PER_PROBE_ROUND)
+        first, failure.probe_rounds = failure.probe_rounds, failure.probe_rounds + 1
+        offsets = range(min(HOSTS_PER_PROBE_ROUND, len(hosts)))
+        return [hosts[(first + offset * stride) % len(hosts)] for offset in offsets]
 
-    async def _ask(self, hall: str, host: Upstream) -> None:
+    async def _probe(self, hall: str, host: Upstream) -> None:
         answer = await self._operator.probe(host)
-        if hall in self._down and not isinstance(answer, Unavailable):
-            self._end(hall, "a host there answers")
-            self._duties.wake.set()
+        if hall in self._failures and not isinstance(answer, Unavailable):
+            self._mark_up(hall, "a host there answers")
+            self._host_tasks.wake.set()
 
-    def _end(self, hall: str, why: str) -> None:
-        down = self._down.pop(hall)
-        back = {
+    def _mark_up(self, hall: str, why: str) -> None:
+        failure = self._failures.pop(hall)
+        recovered = {
             host
-            for host, upstream in self._hosts.rows_of_hall(hall).items()
-            if down.rows.get(host) != upstream
+            for host, upstream in self._hosts.upstreams_in_hall(hall).items()
+            if failure.rows.get(host) != upstream
         }
-        self._hosts.mark_hall_up(hall, back)
-        down_for_s = round(self._clock.now() - down.found_at, 2)
-        self._log.event("hall_up", hall=hall, why=why, down_for_s=down_for_s, back=len(back))
+        self._hosts.mark_hall_up(hall, recovered)
+        down_for_s = round(self._clock.now() - failure.failed_at, 2)
+        self._log.event("hall_up", hall=hall, why=why, down_for_s=down_for_s, back=len(recovered))
 
     def end_term(self) -> None:
         """Leave halls that are down as single hosts that gave no answer."""
-        for hall in list(self._down):
-            self._end(hall, "the duty ends")
+        for hall in list(self._failures):
+            self._mark_up(hall, "the duty ends")
 
 
 def assess_hall(
@@ -261,20 +263,20 @@
     loads : what the nodes that were heard lately have in flight, by upstream.
     lost : heads that were found to give no answer.
     """
-    there = [node.silent_s for node in nodes if node.report.hall == hall]
-    still = [_still_for_s(h.upstream.id, loads, lost) for h in heads]
+    silent_s = [node.silent_s for node in nodes if node.report.hall == hall]
+    stalled_s = [_stalled_for_s(h.upstream.id, loads, lost) for h in heads]
     return HallHealth(
         hall,
         len(heads),
-        sum(_is_moving(h.upstream.id, loads) for h in heads),
-        sum(seconds >= STALLED_HEAD_S for seconds in still),
-        sum(seconds >= LONG_STALLED_HEAD_S for seconds in still),
-        len(there),
-        min(there, default=float("inf")),
+        sum(_is_progressing(h.upstream.id, loads) for h in heads),
+        sum(seconds >= STALLED_HEAD_S for seconds in stalled_s),
+        sum(seconds >= LONG_STALLED_HEAD_S for seconds in stalled_s),
+        len(silent_s),
+        min(silent_s, default=float("inf")),
     )
 
 
-def _still_for_s(head: str, loads: dict[str, LoadReport], lost: set[str]) -> float:
+def _stalled_for_s(head: str, loads: dict[str, LoadReport], lost: set[str]) -> float:
     """Return for how long requests at a head have stood still; 0 without any."""
     if head in lost:
         return float("inf")
@@ -282,12 +284,12 @@
     return load.stalled_s if load is not None and load.running else 0.0
 
 
-def _is_moving(head: str, loads: dict[str, LoadReport]) -> bool:
+def _is_progressing(head: str, loads: dict[str, LoadReport]) -> bool:
     load = loads.get(head)
     return load is not None and load.silent_s < STALLED_HEAD_S
 
 
-def failed_halls(signs: list[HallHealth], own_hall: str) -> list[HallHealth]:
+def failed_halls(halls: list[HallHealth], own_hall: str) -> list[HallHealth]:
     """Return the halls that have failed, if a third one shows that others haven't.
 
     Examples
@@ -295,13 +297,13 @@
 
     >>> failed = HallHealth("a", 4, 0, 4, 0, 3, 0.7)
     >>> own, third = HallHealth("b", 4, 4, 0, 0, 3, 0.0), HallHealth("c", 4, 4, 0, 0, 3, 0.1)
-    >>> [signs.hall for signs in failed_halls([failed, own, third], "b")]
+    >>> [health.hall for health in failed_halls([failed, own, third], "b")]
     ['a']
     >>> failed_halls([failed, own], "b")
     []
     """
-    has_third = any(other.moving and other.hall != own_hall for other in signs)
-    return [found for found in signs if has_third and found.has_failed()]
+    has_third = any(other.progressing and other.hall != own_hall for other in halls)
+    return [health for health in halls if has_third and health.has_failed()]
 
 
 def _may_have_failed(heads: list[Head], nodes: list[RecentNode]) -> bool:
--- a/mulleinreach/gateway/fleet/planner.py
+++ b/mulleinreach/gateway/fleet/planner.py
@@ -63,7 +63,7 @@
     """A group that takes requests, by its name and epoch."""
 
     model: str
-    place: tuple[str, int]
+    key: tuple[str, int]
     members: tuple[FreeHost, ...]
 
 
@@ -102,11 +102,11 @@
 
 @dataclass(frozen=True)
 class LoadStandby:
-    """Load a model on a free host; low ``order`` goes first when loads are scarce."""
+    """Load a model on a free host; low ``priority`` goes first when loads are scarce."""
 
     host: str
     model: str
-    order: int
+    priority: int
     needs_load: bool
 
 
@@ -131,17 +131,19 @@
     {'a': 0, 'b': 2}
     """
     targets = {model.name: view.groups.get(model.name, 0) for model in models}
-    room = view.hosts - sum(targets[model.name] * model.size for model in models)
+    spare_hosts = view.hosts - sum(targets[model.name] * model.size for model in models)
     while fitting := [
-        model for model in models if model.size <= room - _kept(view, targets, model)
+        model
+        for model in models
+        if model.size <= spare_hosts - _reserved_hosts(view, targets, model)
     ]:
         neediest = max(fitting, key=lambda m: _need(view, m) / (targets[m.name] + 0.5))
         targets[neediest.name] += 1
-        room -= neediest.size
+        spare_hosts -= neediest.size
     return targets
 
 
-def _kept(view: DomainView, targets: dict[str, int], model: EngineModel) -> int:
+def _reserved_hosts(view: DomainView, targets: dict[str, int], model: EngineModel) -> int:
     """Return how many hosts a further group of a model has to leave for standbys.
 
     Hosts serve better than they wait: none where nearly all places of the model are taken.
@@ -180,15 +182,15 @@
     >>> target_standbys(view, {"a": 1, "b": 1}, models)
     {'a': 0, 'b': 1}
     """
-    room = view.hosts - sum(targets[model.name] * model.size for model in models)
+    spare_hosts = view.hosts - sum(targets[model.name] * model.size for model in models)
     standbys = {model.name: 0 for model in models}
     # A standby is of use to groups of its own domain, and to one that lacks a host or two.
-    served = [m for m in models if targets[m.name] or m.size - room <= MAX_MISSING_HOSTS] or list(
-        models
-    )
-    by_worth = sorted(served, key=lambda m: -m.size * (_need(view, m) if view.usage else 1))
-    for number in range(max(0, room)):
-        standbys[by_worth[number % len(by_worth)].name] += 1
+    candidates = [
+        m for m in models if targets[m.name] or m.size - spare_hosts <= MAX_MISSING_HOSTS
+    ] or list(models)
+    by_priority = sorted(candidates, key=lambda m: -m.size * (_need(view, m) if view.usage else 1))
+    for number in range(max(0, spare_hosts)):
+        standbys[by_priority[number % len(by_priority)].name] += 1
     return standbys
 
 
@@ -242,14 +244,14 @@
     for host in idle + surplus:
         if host.model is not None and not _is_surplus(host, held, wanted):
             continue
-        lacking = [m for m in models if held[m.name] < wanted[m.name]]
-        if not lacking:
+        short_models = [m for m in models if held[m.name] < wanted[m.name]]
+        if not short_models:
             break
-        model = _most_urgent(lacking, host, held, group_hosts)
+        model = _most_urgent(short_models, host, held, group_hosts)
         is_standby = held[model.name] >= group_hosts[model.name]
-        order = held[model.name] + (1000 if is_standby else 0)
+        priority = held[model.name] + (1000 if is_standby else 0)
         plans.append(
-            LoadStandby(host.id, model.name, order, needs_load=model.name not in host.staged)
+            LoadStandby(host.id, model.name, priority, needs_load=model.name not in host.staged)
         )
         held[model.name] += 1
         if host.model is not None:
@@ -265,7 +267,10 @@
 
 
 def _most_urgent(
-    lacking: list[EngineModel], host: FreeHost, held: dict[str, int], group_hosts: dict[str, int]
+    short_models: list[EngineModel],
+    host: FreeHost,
+    held: dict[str, int],
+    group_hosts: dict[str, int],
 ) -> EngineModel:
     """Return the model to load: hosts of a group first, then what is staged already."""
 
@@ -273,4 +278,4 @@
         is_for_group = held[model.name] < group_hosts[model.name]
         return (not is_for_group, model.name not in host.staged, held[model.name] / model.size)
 
-    return min(lacking, key=urgency)
+    return min(short_models, key=urgency)
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -17,7 +17,7 @@
 from mulleinreach.standins.gateway.hosts import HostTimes
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL, GatewayWorld
 
-REPAIR_S = 1.3
+MAX_REPAIR_S = 1.3
 
 
 def member_of(world: GatewayWorld, model: str, rank: int):
@@ -47,7 +47,7 @@
         taken_s = await world.until(lambda: world.open_groups(LARGE) == 2)
         asking.cancel()
         await dying
-        assert taken_s < REPAIR_S
+        assert taken_s < MAX_REPAIR_S
 
     run_world(test)
 
@@ -65,7 +65,7 @@
         await asyncio.sleep(1)
         head = member_of(world, SMALL, rank=0)
         dying = asyncio.create_task(head.die())
-        await asyncio.sleep(REPAIR_S)
+        await asyncio.sleep(MAX_REPAIR_S)
         await world.until(lambda: world.open_groups(SMALL) == 2, timeout_s=4)
         asking.cancel()
         await dying
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -34,9 +34,9 @@
 from mulleinreach.standins.virtual import run_virtual
 
 HALLS = {"halls": 3, "nodes": 6, "domains": 6}
-FOUND_S = 1.0
+MAX_DETECTION_S = 1.0
 # The lease of a coordinator that has failed is free after three and a half seconds.
-FOUND_ANEW_S = 5.0
+MAX_DETECTION_AFTER_TAKEOVER_S = 5.0
 COLD_S = 6.0
 
 
@@ -82,7 +82,7 @@
     return next(hall for hall in world.halls if hall != _hall_of_coordinator(world))
 
 
-def _is_told_lost(world: GatewayWorld, hall: str) -> bool:
+def _is_reported_lost(world: GatewayWorld, hall: str) -> bool:
     """Whether all living nodes pass over all upstreams of a hall."""
     lost = {upstream.id for upstream in world.upstreams_in(hall)}
     return all(lost <= node.eligibility.lost for node in world.nodes.values())
@@ -101,13 +101,13 @@
         await world.add_plain("desk", _never, hall)
         await asyncio.sleep(1)
         await world.lose_hall(hall)
-        found_s = await world.until(lambda: _is_told_lost(world, hall))
+        found_s = await world.until(lambda: _is_reported_lost(world, hall))
         orders = _orders_into(world, hall)
         await asyncio.sleep(5)
         assert _orders_into(world, hall) == orders
-        assert _is_told_lost(world, hall)
+        assert _is_reported_lost(world, hall)
         callers.stop()
-        assert found_s < (FOUND_ANEW_S if loses_coordinator else FOUND_S)
+        assert found_s < (MAX_DETECTION_AFTER_TAKEOVER_S if loses_coordinator else MAX_DETECTION_S)
 
     run_world(test, **HALLS)
 
@@ -178,7 +178,7 @@
         hall = _another_hall(world)
         lost = world.hosts_in(hall)
         await world.lose_hall(hall)
-        await world.until(lambda: _is_told_lost(world, hall))
+        await world.until(lambda: _is_reported_lost(world, hall))
         await asyncio.sleep(3)
         for host in lost:
             await _come_back(world, host, is_replaced)
@@ -278,9 +278,9 @@
         hosts.mark_hall_down("a")
         assert [host.id for host in hosts.usable("s")] == ["b1"]
         assert hosts.lost() == ["a1", "a2"]
-        hosts.mark_hall_up("a", back={"a2"})
+        hosts.mark_hall_up("a", recovered={"a2"})
         assert [host.id for host in hosts.usable("s")] == ["a2", "b1"]
-        hosts.take_report(rows[0], clock.now())
+        hosts.apply_report(rows[0], clock.now())
         assert hosts.lost() == []
 
     run_virtual(test())
@@ -293,19 +293,21 @@
 JUST_SENT = LoadReport("", 1, 0, 1000.0, 0.1)
 
 
-def _found(loads: list[LoadReport], nodes_silent_s: list[float], third=MOVING) -> list[str]:
+def _detected_halls(
+    loads: list[LoadReport], nodes_silent_s: list[float], third=MOVING
+) -> list[str]:
     """Return the halls that are found to be down by the loads of heads and the nodes of ``a``."""
     heads = [
         Head(make_upstream(f"a{n}", MODEL_SERVICE, n, "d", "a"), f"g{n}", 1, LARGE)
         for n in range(4)
     ]
-    told = {f"a{n}": load for n, load in enumerate(loads)}
+    loads_by_head = {f"a{n}": load for n, load in enumerate(loads)}
     nodes = [RecentNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
-    signs = [assess_hall("a", heads, told, set(), nodes)]
+    halls = [assess_hall("a", heads, loads_by_head, set(), nodes)]
     for hall, load in (("b", MOVING), ("c", third)):
         head = Head(make_upstream(hall, MODEL_SERVICE, 9, "d", hall), hall, 1, LARGE)
-        signs.append(assess_hall(hall, [head], {hall: load}, set(), nodes))
-    return [found.hall for found in failed_halls(signs, own_hall="b")]
+        halls.append(assess_hall(hall, [head], {hall: load}, set(), nodes))
+    return [found.hall for found in failed_halls(halls, own_hall="b")]
 
 
 @pytest.mark.parametrize(
@@ -324,9 +326,9 @@
     ],
 )
 def test_signs_of_a_hall_that_has_failed(loads, nodes_silent_s, is_down):
-    assert _found(loads, nodes_silent_s) == (["a"] if is_down else [])
+    assert _detected_halls(loads, nodes_silent_s) == (["a"] if is_down else [])
 
 
 def test_nothing_is_found_unless_a_third_hall_is_alive():
-    assert _found([STILL, STILL], [0.7]) == ["a"]
-    assert _found([STILL, STILL], [0.7], third=STILL) == []
+    assert _detected_halls([STILL, STILL], [0.7]) == ["a"]
+    assert _detected_halls([STILL, STILL], [0.7], third=STILL) == []
--- a/mulleinreach/gateway/fleet/tests/test_planner.py
+++ b/mulleinreach/gateway/fleet/tests/test_planner.py
@@ -82,25 +82,25 @@
     async def test():
         usage = ModelUsage(Clock())
         heads = [_head("l", LARGE), _head("s", SMALL)]
-        usage.note(PROFILE, heads, {})
+        usage.update(PROFILE, heads, {})
         assert usage.by_model() == {}
         half = PROFILE.slots / 2
-        usage.note(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
+        usage.update(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
         assert usage.by_model() == pytest.approx({LARGE: 0.0, SMALL: 0.5})
-        assert usage.places() == {}
+        assert usage.demand() == {}
         for _ in range(100):
             await asyncio.sleep(0.1)
-            usage.note(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
-        assert usage.places() == pytest.approx({LARGE: 0.0, SMALL: half})
+            usage.update(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
+        assert usage.demand() == pytest.approx({LARGE: 0.0, SMALL: half})
         await asyncio.sleep(0.1)
-        usage.note(PROFILE, heads, {"s": LoadReport("s", 10 * half, 0, 0.0)})
+        usage.update(PROFILE, heads, {"s": LoadReport("s", 10 * half, 0, 0.0)})
         assert usage.by_model()[SMALL] < 0.7
         for _ in range(100):
             await asyncio.sleep(0.1)
-            usage.note(PROFILE, heads[:1], {"l": LoadReport("l", half, 0, 0.0)})
+            usage.update(PROFILE, heads[:1], {"l": LoadReport("l", half, 0, 0.0)})
         assert usage.by_model() == pytest.approx({LARGE: 0.5, SMALL: NO_GROUP_USAGE}, rel=0.1)
 
-        assert usage.places()[LARGE] == pytest.approx(half, rel=0.1)
+        assert usage.demand()[LARGE] == pytest.approx(half, rel=0.1)
 
     run_virtual(test())
 
--- a/mulleinreach/gateway/fleet/tests/test_staging.py
+++ b/mulleinreach/gateway/fleet/tests/test_staging.py
@@ -11,7 +11,7 @@
 
 SLOW_LOAD = HostTimes(load_s=12.0, warm_s=0.5)
 # Noticed, told to leave, joined from staged weights, opened.
-REPAIR_S = 2.5
+MAX_REPAIR_S = 2.5
 
 
 def holds_both(host) -> bool:
@@ -43,7 +43,7 @@
         taken_s = await world.until(lambda: world.open_groups(LARGE) == 2)
         asking.cancel()
         await asyncio.gather(*dying)
-        assert taken_s < REPAIR_S
+        assert taken_s < MAX_REPAIR_S
 
     run_world(test)
 
@@ -90,9 +90,9 @@
         await world.kill_node(world.coordinator())
         await world.until(lambda: world.coordinator() is not None)
         await asyncio.sleep(3)
-        book = world.nodes[world.coordinator()].hosts
+        registry = world.nodes[world.coordinator()].hosts
         for name, host in world.fabric.hosts.items():
-            assert book.last_model(name) == host.last_model
+            assert registry.last_model(name) == host.last_model
 
     run_world(test, nodes=3)
 
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -48,7 +48,7 @@
         world.fabric.leave = leave
         # The list is read as often as while a group is formed, so that the row which
         # contradicts the accepted order is heard before the host is used elsewhere.
-        coordinator.operator._waits = 1
+        coordinator.operator._quick_waits = 1
         stale = host.describe()
         host.report = lambda: stale
         coordinator.hosts.mark_ended(Group(*head.place, {}), None)
@@ -76,7 +76,7 @@
         await asyncio.sleep(0.1)
         await coordinator.operator.dissolve(earlier)
         _, outcome = await coordinator.operator.join_all(
-            LARGE, [coordinator.hosts.get(head.id)], patience_s=1.0
+            LARGE, [coordinator.hosts.get(head.id)], timeout_s=1.0
         )
         assert outcome is JoinOutcome.WITHHELD
         await asyncio.sleep(2)
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -14,7 +14,7 @@
 
 # A group of four whose host starts again is whole once more after the order to join, the load of
 # its weights from the host's disk and the opening: 0.5 s, 0.3 s and some rounds.
-REPAIRED_S = 2.5
+MAX_REPAIR_S = 2.5
 
 
 def member_of_open_group(world, rank: int):
@@ -26,7 +26,7 @@
     raise AssertionError("no open group")
 
 
-def stands_in(host, group: str) -> bool:
+def is_member(host, group: str) -> bool:
     """Whether a host stands in a group."""
     return host.standing is not None and host.standing.group == group
 
@@ -42,14 +42,14 @@
         world.crashes.begin(host.id, back_after_s, keeps_name=True)
         took_s = await world.until(
             lambda: (
-                not any(stands_in(h, group) for h in world.fabric.hosts.values())
+                not any(is_member(h, group) for h in world.fabric.hosts.values())
                 and all(
                     (world.open_groups(LARGE, name), world.open_groups(SMALL, name)) == (2, 2)
                     for name in world.nodes
                 )
             )
         )
-        assert took_s < REPAIRED_S
+        assert took_s < MAX_REPAIR_S
         for node in world.nodes.values():
             assert node.directory.running(upstream_name(host.id)) not in (None, host.id)
         for name in world.nodes:
