--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -123,7 +123,7 @@
         report = await self._orders.report(host, timeout_s)
         if isinstance(report, Unavailable):
             return report
-        if self._hosts.apply_report(report, as_of):
+        if self._hosts.merge_report(report, as_of):
             self.notify()
         return self._hosts.get(host.id) or report
 
@@ -170,7 +170,7 @@
         if isinstance(report, Unavailable):
             self._hosts.mark_lost(member.id)
             return False
-        self._hosts.apply_report(report, as_of)
+        self._hosts.merge_report(report, as_of)
         if report.place == member.place:
             return True
         return member.place is None and self._hosts.has_left_since(member.id, report.place, as_of)
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -44,7 +44,7 @@
 # garbage collection is late. Nodes leave a head that stands still a little later (1.3 s).
 LONG_STALLED_HEAD_S = 1.0
 # Nodes report no more often than that, and adding up the loads of all nodes takes time.
-CHECK_INTERVAL_S = 0.1
+HALL_CHECK_INTERVAL_S = 0.1
 # Callers wait for the places of a hall that is back, and a question costs a host little.
 PROBE_INTERVAL_S = 1.0
 # A host that is asked may be one that doesn't come back.
@@ -153,7 +153,7 @@
         heads : the open groups of all services, those of lost hosts too.
         """
         now = self._clock.now()
-        if now - self._checked_at < CHECK_INTERVAL_S:
+        if now - self._checked_at < HALL_CHECK_INTERVAL_S:
             return
         self._checked_at = now
         nodes = self._nodes()
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -123,7 +123,7 @@
         """Return for how much longer a host is cold; 0 if it is warm."""
         return max(0.0, self._cold_until.get(host, NEVER) - self._clock.now())
 
-    def apply_report(self, report: Upstream, as_of: float) -> bool:
+    def merge_report(self, report: Upstream, as_of: float) -> bool:
         """Take in what a host said itself; returns whether that is news.
 
         An answer shows in any case that the host is there.
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -280,7 +280,7 @@
         assert hosts.lost() == ["a1", "a2"]
         hosts.mark_hall_up("a", recovered={"a2"})
         assert [host.id for host in hosts.usable("s")] == ["a2", "b1"]
-        hosts.apply_report(rows[0], clock.now())
+        hosts.merge_report(rows[0], clock.now())
         assert hosts.lost() == []
 
     run_virtual(test())
