--- a/benchmarks/control_traffic.py
+++ b/benchmarks/control_traffic.py
@@ -28,7 +28,7 @@
 )
 from mulleinreach.gateway.coordination.totals import FULL_TOTALS_INTERVAL_ROUNDS
 from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.reading import LONG_WAIT_S
+from mulleinreach.gateway.known.reading import READER_WAIT_S
 from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream
 
@@ -130,7 +130,7 @@
         ("KiB sent a second", up / KIB, others * down / KIB, "packed, before compression"),
         ("KiB taken a second", down / KIB, others * up / KIB, "packed, before compression"),
         ("renewals of the lease a second", 0, 1 / RENEW_INTERVAL_S, "a write under conditions"),
-        ("waits at the store a second, at rest", 0, 2 / LONG_WAIT_S, "two tables, long polls"),
+        ("waits at the store a second, at rest", 0, 2 / READER_WAIT_S, "two tables, long polls"),
     ]
     lines = ["", "| what | a node | the coordinator | mechanism |", "|---|---|---|---|"]
     lines += [f"| {name} | {a:,.1f} | {b:,.1f} | {how} |" for name, a, b, how in rows]
--- a/mulleinreach/gateway/coordination/messages.py
+++ b/mulleinreach/gateway/coordination/messages.py
@@ -15,7 +15,7 @@
     OpenHead,
     Totals,
 )
-from mulleinreach.gateway.known.crashes import Sighting, held_contents
+from mulleinreach.gateway.known.crashes import RunObservation, held_contents
 from mulleinreach.gateway.known.limits import NamedLimit
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
@@ -68,7 +68,7 @@
     ]
 
 
-def _pack_sightings(message, sightings: list[Sighting]) -> None:
+def _pack_sightings(message, sightings: list[RunObservation]) -> None:
     rows = message.init("sightings", len(sightings))
     for row, sighting in zip(rows, sightings, strict=True):
         row.id, row.content = sighting.id, sighting.content
@@ -76,9 +76,9 @@
         row.outcome, row.agoMs = int(sighting.outcome), _milliseconds(sighting.ago_s)
 
 
-def _unpack_sightings(rows) -> list[Sighting]:
+def _unpack_sightings(rows) -> list[RunObservation]:
     return [
-        Sighting(
+        RunObservation(
             row.id,
             row.content,
             row.upstream,
@@ -151,7 +151,7 @@
 
     >>> successor = Successor(3, "10.0.0.1:80", "secret")
     >>> loads = [LoadReport("u", 2, 70, 0.5, 0.5, 1)]
-    >>> seen = [Sighting(2**64 - 1, 2**63, "u", "h", RunOutcome.ENDED_BEGUN, 0.25)]
+    >>> seen = [RunObservation(2**64 - 1, 2**63, "u", "h", RunOutcome.ENDED_BEGUN, 0.25)]
     >>> report = NodeReport(
     ...     "a", loads, seq=4, successor=successor, hall="h", sightings=seen,
     ...     limits=(NamedLimit("u", 2.1, 0.5),), wanted=(PermitCount("u", 3),),
--- a/mulleinreach/gateway/coordination/passed_on.py
+++ b/mulleinreach/gateway/coordination/passed_on.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, Totals
-from mulleinreach.gateway.known.crashes import Sighting
+from mulleinreach.gateway.known.crashes import RunObservation
 from mulleinreach.gateway.known.limits import NamedLimit
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
@@ -56,10 +56,10 @@
     def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew."""
 
-    def sightings(self, includes_old: bool) -> list[Sighting]:
+    def sightings(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
 
-    def merge_sightings(self, sightings: list[Sighting]) -> None:
+    def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
 
     def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
--- a/mulleinreach/gateway/coordination/reports.py
+++ b/mulleinreach/gateway/coordination/reports.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from mulleinreach.gateway.coordination.lease import Resignation, Successor
-from mulleinreach.gateway.known.crashes import Sighting
+from mulleinreach.gateway.known.crashes import RunObservation
 from mulleinreach.gateway.known.limits import NamedLimit
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
@@ -38,7 +38,7 @@
     configuration_version: int = 0
     successor: Successor | None = None
     hall: str = ""
-    sightings: list[Sighting] = field(default_factory=list)
+    sightings: list[RunObservation] = field(default_factory=list)
     limits: tuple[NamedLimit, ...] = ()
     wanted: tuple[PermitCount, ...] = ()
 
--- a/mulleinreach/gateway/coordination/tests/test_sharing.py
+++ b/mulleinreach/gateway/coordination/tests/test_sharing.py
@@ -13,7 +13,7 @@
     async def test(world):
         await world.until_formed()
         await world.stream(3)
-        text = (await world.nodes["node-0"]._answer_metrics(None)).body.decode()
+        text = (await world.nodes["node-0"]._handle_metrics(None)).body.decode()
         for name in (
             'answers_total{kind="streaming",status="200"} 1.0',
             "store_calls_total{call=",
@@ -53,7 +53,7 @@
         await asyncio.sleep(4)
         asking.cancel()
         await dying
-        text = (await world.nodes["node-0"]._answer_metrics(None)).body.decode()
+        text = (await world.nodes["node-0"]._handle_metrics(None)).body.decode()
         assert "mulleinreach_gateway_repair_seconds_count 1.0" in text
         assert 'mulleinreach_gateway_repair_seconds_bucket{le="1.0"} 1.0' in text
 
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.upstream_following import REINSTATED_S
+from mulleinreach.gateway.known.upstream_following import RELISTING_GRACE_S
 from mulleinreach.gateway.known.upstreams import Group, UpstreamDirectory
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
@@ -128,7 +128,7 @@
 
         An answer shows in any case that the host is there.
         """
-        is_news = self._directory.put_report(report, as_of)
+        is_news = self._directory.apply_report(report, as_of)
         if not self.is_listed(report.id):
             self._ever_listed[report.id] = report
         self._lost_at.pop(report.id, None)
@@ -141,7 +141,7 @@
         self._departures[host] = GroupDeparture((group.name, group.epoch), now)
         known = self._directory.get(host)
         if known is not None and is_member(known, group):
-            self._directory.put_report(replace(known, models=(), membership=None), now)
+            self._directory.apply_report(replace(known, models=(), membership=None), now)
 
     def has_left_since(self, host: str, key: tuple[str, int] | None, since: float) -> bool:
         """Whether a host took an order to leave just this group at or after a moment."""
@@ -320,7 +320,7 @@
 
         is_first_holder : whether nobody has coordinated before.
         """
-        self._grace_ends_at = NEVER if is_first_holder else self._clock.now() + REINSTATED_S
+        self._grace_ends_at = NEVER if is_first_holder else self._clock.now() + RELISTING_GRACE_S
         self.busy.clear()
         self._retiring.clear()
         self._missing_since.clear()
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -20,7 +20,7 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.known.choosing import UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit
-from mulleinreach.gateway.known.crashes import CrashBook, Sighting
+from mulleinreach.gateway.known.crashes import CrashTracker, RunObservation
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import NamedLimit
@@ -33,7 +33,7 @@
 from mulleinreach.gateway.request.urgency import FirstWaits
 
 # Older evidence would be too old at the nodes (1.5 s) before the next renewal.
-UNPROVEN_S = 0.7
+MAX_UNCONFIRMED_S = 0.7
 
 
 class SharedState:
@@ -59,7 +59,7 @@
         permits: SendPermits,
         controller: FleetController,
         first_waits: FirstWaits,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         on_lost: Callable[[str], None],
     ):
         self._in_force = in_force
@@ -127,11 +127,11 @@
         """Return what nodes that start should know."""
         return HandoverState(self._first_waits.known(), self._crashes.held())
 
-    def sightings(self, includes_old: bool) -> list[Sighting]:
+    def sightings(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
-        return self._crashes.own_sightings(includes_old)
+        return self._crashes.own_observations(includes_old)
 
-    def merge_sightings(self, sightings: list[Sighting]) -> None:
+    def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
         self._crashes.take(sightings)
 
@@ -165,13 +165,13 @@
     async def read_changed_rows(self, rows: OperatorRows | None) -> None:
         """Read the operators' rows, which have other versions, unless a wait has told it."""
         if self._in_force.operator_rows() == rows:
-            await self._in_force.read_anew()
+            await self._in_force.read_now()
 
     async def read_unconfirmed_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
         self._follower.confirm(self._loads.now())
-        if self._in_force.evidence_age_s() > UNPROVEN_S:
-            await self._in_force.read_anew()
+        if self._in_force.evidence_age_s() > MAX_UNCONFIRMED_S:
+            await self._in_force.read_now()
 
     def note_store_failed(self) -> None:
         """Note that the store has just failed to answer."""
@@ -182,7 +182,7 @@
     def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew of callers."""
         self._first_waits.take_told(inheritance.first_waits)
-        self._crashes.take_held(inheritance.held)
+        self._crashes.merge_held(inheritance.held)
 
     def take(self, report: CoordinatorReport, asked_at: float, own_loads: list[LoadReport]) -> None:
         """Take a coordinator's report.
@@ -203,11 +203,11 @@
             frozenset(totals.evacuated),
             totals.operator_revision,
         )
-        self._follower.take_outage(totals.keeps_removed)
+        self._follower.note_coordinator_retention(totals.keeps_removed)
         if totals.is_store_unavailable:
-            self._in_force.note_store_away(asked_at)
+            self._in_force.note_store_unreachable(asked_at)
         if report.whole_list is not None:
-            self._follower.take_whole(report.whole_list, asked_at - totals.list_age_s)
+            self._follower.take_coordinator_list(report.whole_list, asked_at - totals.list_age_s)
         if not report.is_list_unknown:
             self._follower.take_passed(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
@@ -216,7 +216,7 @@
         if totals.limits is not None:
             self._permits.limits.take_told(totals.limits, asked_at)
         self._permits.take(report.permits, asked_at, totals.nodes)
-        self._crashes.take_held(totals.held or (), asked_at)
+        self._crashes.merge_held(totals.held or (), asked_at)
         self._take_heads(totals)
         self._take_lost(totals.lost)
 
--- a/mulleinreach/gateway/known/notices.py
+++ b/mulleinreach/gateway/known/notices.py
@@ -24,20 +24,20 @@
     Parameters
     ==========
 
-    asked_s : how long it was to be when it was asked for.
+    requested_s : how long it was to be when it was asked for.
     """
 
     remaining_s: float
-    asked_s: float
+    requested_s: float
 
 
 @dataclass(frozen=True)
-class _AskedRest:
+class _RequestedRest:
     until: float
     rest_s: float
 
 
-class NoticeBook:
+class NoticeTracker:
     """Keeps for how long upstreams want nothing, and tells the list which of them leave.
 
     Parameters
@@ -58,11 +58,11 @@
         self._log = log
         self._on_leaving = on_leaving
         # By the id of a start: a later one has asked for nothing.
-        self._rests: dict[str, _AskedRest] = {}
+        self._rests: dict[str, _RequestedRest] = {}
 
-    def take(self, upstream: Upstream, notice: Notice) -> None:
+    def record(self, upstream: Upstream, notice: Notice) -> None:
         """Take what an answer says of the upstream that gave it."""
-        is_news = notice.is_leaving and self._directory.note_leaving(upstream.id)
+        is_news = notice.is_leaving and self._directory.mark_leaving(upstream.id)
         if notice.rest_s:
             self._note_rest(upstream.id, notice.rest_s)
         if is_news or notice.rest_s:
@@ -77,7 +77,7 @@
 
     def _note_rest(self, upstream_id: str, rest_s: float) -> None:
         now = self._clock.now()
-        asked = _AskedRest(now + rest_s, rest_s)
+        asked = _RequestedRest(now + rest_s, rest_s)
         resting = {u: rest for u, rest in self._rests.items() if rest.until > now}
         before = resting.get(upstream_id, asked)
         # What was asked for before still holds, if it ends later.
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -198,14 +198,14 @@
 def test_cold_time_counts_from_the_latest_change_of_a_row():
     host = Upstream("u", "s", Address("10.0.0.1", 80), "hall", cold_s=5.0)
     directory = UpstreamDirectory()
-    directory.replace_all(1, [host], heard_at=10.0)
-    assert directory.put_report(replace(host, pace=2.0), as_of=13.0)
-    directory.replace_all(2, [replace(host, pace=2.0)], heard_at=14.0)
+    directory.replace_all(1, [host], observed_at=10.0)
+    assert directory.apply_report(replace(host, pace=2.0), as_of=13.0)
+    directory.replace_all(2, [replace(host, pace=2.0)], observed_at=14.0)
     assert directory.cold_ids(14.9) == {"u"}
     assert not directory.cold_ids(15.1)
-    directory.apply(ListChange(3, [replace(host, cold_s=8.0)], []), heard_at=16.0)
+    directory.apply(ListChange(3, [replace(host, cold_s=8.0)], []), observed_at=16.0)
     assert directory.cold_ids(23.9) == {"u"}
-    directory.apply(ListChange(4, [replace(host, cold_s=0.0)], []), heard_at=17.0)
+    directory.apply(ListChange(4, [replace(host, cold_s=0.0)], []), observed_at=17.0)
     assert not directory.cold_ids(17.0)
 
 
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -28,7 +28,7 @@
         await asyncio.sleep(0.01)
         host.leave(*known.place)
         await asyncio.sleep(REPORT_LAG_S)
-        assert not coordinator.directory.put_report(known, as_of)
+        assert not coordinator.directory.apply_report(known, as_of)
         assert coordinator.directory.get(host.id).place != known.place
 
     run_world(test)
@@ -43,7 +43,7 @@
         report = directory.get(host.id)
         host.drain()
         await asyncio.sleep(0.2)
-        assert directory.put_report(replace(report, pace=2.0), world.clock.now())
+        assert directory.apply_report(replace(report, pace=2.0), world.clock.now())
         assert directory.get(host.id).state is UpstreamState.DRAINING
 
     run_world(test)
--- a/mulleinreach/gateway/known/tests/test_told_changes.py
+++ b/mulleinreach/gateway/known/tests/test_told_changes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinreach.gateway.known.told_changes import FIRST_IDS
+from mulleinreach.gateway.known.told_changes import MAX_LOGGED_IDS
 from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
@@ -41,12 +41,12 @@
     async def test(world):
         await asyncio.sleep(2)
         kept = record_events(world.nodes[world.coordinator()])
-        hosts = 2 * FIRST_IDS
+        hosts = 2 * MAX_LOGGED_IDS
         for number in range(hosts):
             await world.add_host(f"extra-{number}", "domain-extra")
         await asyncio.sleep(0.3)
         lines = event_fields(kept, "upstreams_changed")
         assert sum(line["new"] for line in lines) == hosts
-        assert all(str(line["first_new"]).count(",") < FIRST_IDS for line in lines)
+        assert all(str(line["first_new"]).count(",") < MAX_LOGGED_IDS for line in lines)
 
     run_world(test, domains=0)
--- a/mulleinreach/gateway/process.py
+++ b/mulleinreach/gateway/process.py
@@ -48,8 +48,8 @@
     node = GatewayNode(identity, bounds, ports, network, Clock(), callers_socket=callers)
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     # Settings that a running node uses don't change; a new start reads the others.
     loop.add_signal_handler(signal.SIGHUP, lambda: node.log.event("settings_changed"))
     await node.start()
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -345,7 +345,7 @@
         rest = self._sender.rest(job)
         if rest is None:
             return RETRY_AFTER_S
-        until_s = rest.remaining_s + self._rng.uniform(0, RETURN_SPREAD * rest.asked_s)
+        until_s = rest.remaining_s + self._rng.uniform(0, RETURN_SPREAD * rest.requested_s)
         return min(until_s, LONGEST_RETRY_AFTER_S)
 
     def _own_answer(
--- a/mulleinreach/gateway/request/tests/test_crashing_requests.py
+++ b/mulleinreach/gateway/request/tests/test_crashing_requests.py
@@ -148,7 +148,7 @@
         await asyncio.sleep(0.03)
         node = world.nodes["node-2"]
         [exchange] = [e for at in node.active._by_upstream.values() for e in at]
-        node.crashes.take_held([HeldContent(exchange.content, HOLD_S)])
+        node.crashes.merge_held([HeldContent(exchange.content, HOLD_S)])
         answer = await waiting
         assert answer.status == 502
         assert node.relay.in_flight == 0
@@ -196,7 +196,7 @@
         await asyncio.sleep(0.5)
         node = world.nodes["node-2"]
         [exchange] = [e for at in node.active._by_upstream.values() for e in at]
-        node.crashes.take_held([HeldContent(exchange.content, HOLD_S)])
+        node.crashes.merge_held([HeldContent(exchange.content, HOLD_S)])
         answer = await asking
         assert answer.event_ids == [str(n) for n in range(1, 41)]
 
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from mulleinreach.gateway.known.limits import ENDED_TOLD_S, UNLISTED_KEPT_S, LimitBook, NamedLimit
-from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.limited import (
@@ -27,11 +27,11 @@
 LATER = incarnation_id("desk-0", 2)
 
 
-def make_book(*upstreams) -> tuple[LimitBook, SteppedClock]:
+def make_book(*upstreams) -> tuple[LimitBook, ManualClock]:
     """Return a book whose list has some upstreams, and its clock."""
-    clock, directory = SteppedClock(), UpstreamDirectory()
+    clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, list(upstreams), clock.now())
-    return LimitBook(directory, clock, SilentLog()), clock
+    return LimitBook(directory, clock, NullLog()), clock
 
 
 def test_later_start_under_the_name_has_no_limit():
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -7,8 +7,8 @@
 import pytest
 from aiohttp import web
 
-from mulleinreach.gateway.known.notices import NoticeBook
-from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
+from mulleinreach.gateway.known.notices import NoticeTracker
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
@@ -31,26 +31,26 @@
 BACK_WITHIN_S = 2.0
 
 
-def make_book() -> tuple[NoticeBook, UpstreamDirectory, SteppedClock]:
+def make_book() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
     """Return a book, its list and its clock."""
-    clock, directory = SteppedClock(), UpstreamDirectory()
+    clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, [FIRST], clock.now())
-    return NoticeBook(directory, clock, SilentLog(), lambda: None), directory, clock
+    return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
 
 
 def test_shorter_rest_that_is_asked_for_later_ends_no_longer_one():
     book, _, clock = make_book()
-    book.take(FIRST, Notice(rest_s=3.0))
+    book.record(FIRST, Notice(rest_s=3.0))
     clock.at += 1
-    book.take(FIRST, Notice(rest_s=0.5))
+    book.record(FIRST, Notice(rest_s=0.5))
     assert book.rest(FIRST.id).remaining_s == 2.0
 
 
 def test_longer_rest_that_is_asked_for_later_counts():
     book, _, clock = make_book()
-    book.take(FIRST, Notice(rest_s=1.0))
+    book.record(FIRST, Notice(rest_s=1.0))
     clock.at += 0.5
-    book.take(FIRST, Notice(rest_s=3.0))
+    book.record(FIRST, Notice(rest_s=3.0))
     assert book.rest(FIRST.id).remaining_s == 3.0
     clock.at += 3.0
     assert book.rest(FIRST.id) is None
@@ -59,7 +59,7 @@
 
 def test_later_start_under_the_name_neither_rests_nor_leaves():
     book, directory, clock = make_book()
-    book.take(FIRST, Notice(is_leaving=True, rest_s=3.0))
+    book.record(FIRST, Notice(is_leaving=True, rest_s=3.0))
     directory.apply(ListChange(2, [LATER], []), clock.now())
     assert book.rest(LATER.id) is None
     assert directory.get(LATER.id).state is UpstreamState.READY
@@ -67,7 +67,7 @@
 
 def test_row_that_calls_an_upstream_ready_does_not_refute_its_own_word():
     book, directory, clock = make_book()
-    book.take(FIRST, Notice(is_leaving=True))
+    book.record(FIRST, Notice(is_leaving=True))
     for change in (ListChange(2, [FIRST], []), ListChange(3, [], ["desk-0"])):
         directory.apply(change, clock.now())
     directory.replace_all(4, [FIRST], clock.now())
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -42,7 +42,7 @@
     async def test(world):
         await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
-        node._tasks.spawn(_end_slowly())
+        node._tasks.spawn(_finish_slowly())
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(after_s)
         try:
@@ -97,7 +97,7 @@
     return await world.call("/order/1", b"2 tins")
 
 
-async def _end_slowly():
+async def _finish_slowly():
     """Take a while to end, as tasks do on a busy node."""
     try:
         await asyncio.sleep(3600)
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.known.waking import TOLD_FROM_S, WakeWatch
+from mulleinreach.gateway.known.waking import MIN_LOGGED_SUSPENSION_S, SuspensionMonitor
 from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
@@ -115,9 +115,11 @@
     async def test(world):
         kept = record_events(world.nodes["node-0"])
         slept = [3.0]
-        watch = WakeWatch(lambda: slept[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log)
+        watch = SuspensionMonitor(
+            lambda: slept[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log
+        )
         watch.look()
-        slept[0] += TOLD_FROM_S / 2
+        slept[0] += MIN_LOGGED_SUSPENSION_S / 2
         watch.look()
         slept[0] += 5
         watch.look()
