--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -104,7 +104,7 @@
         f"{GATEWAY}/fleet/halls.py",
         "if self.progressing or not self.heads or self.stalled < least:",
         "if not self.heads or self.stalled < least:",
-        f"{GATEWAY}/fleet/tests/test_halls.py -k signs",
+        f"{GATEWAY}/fleet/tests/test_halls.py -k from_its_health",
     ),
     Breakage(
         "RECOVER",
@@ -112,7 +112,7 @@
         f"{GATEWAY}/fleet/halls.py",
         "return self.nodes_silent_s >= SILENT_NODES_S",
         "return True",
-        f"{GATEWAY}/fleet/tests/test_halls.py -k signs",
+        f"{GATEWAY}/fleet/tests/test_halls.py -k from_its_health",
     ),
     Breakage(
         "RECOVER",
@@ -136,7 +136,7 @@
         f"{GATEWAY}/fleet/hosts.py",
         "self._directory.is_replaced(host) or self.is_in_down_hall(host)",
         "self._directory.is_replaced(host)",
-        f"{GATEWAY}/fleet/tests/test_halls.py -k show_themselves",
+        f"{GATEWAY}/fleet/tests/test_halls.py -k until_they_respond",
     ),
     Breakage(
         "RECOVER",
@@ -152,7 +152,7 @@
         f"{GATEWAY}/fleet/hosts.py",
         "self._last_model.pop(host, None)",
         "pass",
-        f"{GATEWAY}/fleet/tests/test_halls.py -k without_haste",
+        f"{GATEWAY}/fleet/tests/test_halls.py -k within_the_load_limit",
     ),
     Breakage(
         "RECOVER",
@@ -184,7 +184,7 @@
         f"{GATEWAY}/fleet/placement.py",
         "self._form_in_evacuated(service, evacuated_views, groups)",
         "pass",
-        f"{GATEWAY}/fleet/tests/test_halls.py -k formed_anew",
+        f"{GATEWAY}/fleet/tests/test_halls.py -k formed_again",
     ),
     Breakage(
         "FAILBACK",
--- a/benchmarks/start_breakages.py
+++ b/benchmarks/start_breakages.py
@@ -32,7 +32,7 @@
         f"{GATEWAY}/fleet/hosts.py",
         "if self._directory.is_replaced(host):",
         "if False:",
-        f"{HOSTS} -k formed_anew",
+        f"{HOSTS} -k formed_again",
     ),
     Breakage(
         "START",
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -77,12 +77,12 @@
     return moved
 
 
-def test_domains_move_to_the_crowded_model_until_it_is_crowded_no_more():
+def test_domains_move_to_the_crowded_model_until_it_is_relieved():
     moved = _moves(_domains(), FEW_LARGE_MANY_SMALL)
     assert 2 <= len(moved) <= 3
 
 
-def test_groups_that_are_left_stand_in_all_halls():
+def test_remaining_groups_cover_all_halls():
     views = _domains()
     _moves(views, FEW_LARGE_MANY_SMALL)
     assert {view.hall for view in views if view.groups[LARGE]} == {"hall-0", "hall-1", "hall-2"}
@@ -108,7 +108,7 @@
     assert (move.domain, move.is_ready) == ("ready", True)
 
 
-def test_lost_group_is_formed_anew_as_the_crowded_model_needs_it():
+def test_hosts_of_a_lost_group_go_to_the_crowded_model():
     views = [_domain("d0", "hall-0", large=0)] + _domains()[1:]
     crowded = allocate(views, ENGINE, _work(FEW_LARGE_MANY_SMALL, views))
     assert crowded["d0"] == {LARGE: 0, SMALL: 4}
@@ -135,7 +135,7 @@
     return HostRebalancer(tolerates_hall_loss, hosts, lambda: may_begin, clock, EventLog("test"))
 
 
-def _begun(
+def _domains_with_moves(
     rebalancer: HostRebalancer, views: list[DomainView], demand: dict[str, float]
 ) -> set[str]:
     """Return the domains whose targets differ from what they have."""
@@ -146,13 +146,13 @@
 def test_move_begins_only_after_it_has_been_wanted_for_a_while():
     async def test():
         rebalancer = _rebalancer(VirtualClock())
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
         await asyncio.sleep(MIN_WANTED_S / 2)
-        assert _begun(rebalancer, _domains(), EVEN) == set()
+        assert _domains_with_moves(rebalancer, _domains(), EVEN) == set()
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
 
     run_virtual(test())
 
@@ -161,13 +161,13 @@
     async def test():
         rebalancer = _rebalancer(VirtualClock(), may_begin=False)
         for _ in range(20):
-            assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+            assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
             await asyncio.sleep(MIN_WANTED_S)
 
     run_virtual(test())
 
 
-def test_groups_that_were_to_give_way_serve_on_once_no_orders_can_be_given():
+def test_groups_retiring_for_a_move_serve_again_when_the_lease_is_lost():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -197,7 +197,7 @@
         demand = {LARGE: 120.0, SMALL: 400.0}
         rebalancer.targets(SERVICE, views, demand)
         await asyncio.sleep(MIN_WANTED_S)
-        assert bool(_begun(rebalancer, views, demand)) is tolerates_hall_loss
+        assert bool(_domains_with_moves(rebalancer, views, demand)) is tolerates_hall_loss
 
     run_virtual(test())
 
@@ -207,9 +207,9 @@
         rebalancer = _rebalancer(VirtualClock())
         rebalancer.targets(SERVICE, _domains(), FEW_LARGE_MANY_SMALL)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
         rebalancer.end_term()
-        assert _begun(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
 
     run_virtual(test())
 
@@ -233,7 +233,7 @@
     run_world(test, nodes=1)
 
 
-def test_hosts_that_have_moved_stay_for_a_while():
+def test_moved_hosts_stay_for_the_cooldown():
     async def test():
         rebalancer = _rebalancer(VirtualClock())
         views = [_domain(f"d{n}", "hall", large=0, small=4) for n in range(3)]
@@ -245,16 +245,16 @@
         rebalancer._moved_at[SMALL] = asyncio.get_running_loop().time()
         rebalancer.targets(SERVICE, views, many_large)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, views, many_large) == set()
+        assert _domains_with_moves(rebalancer, views, many_large) == set()
         await asyncio.sleep(MOVE_COOLDOWN_S)
         rebalancer.targets(SERVICE, views, many_large)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, views, many_large)
+        assert _domains_with_moves(rebalancer, views, many_large)
 
     run_virtual(test())
 
 
-def test_hosts_that_have_moved_give_way_to_a_model_that_is_down_to_its_reserve():
+def test_moved_hosts_move_again_to_a_model_that_is_down_to_its_reserve():
     views = [_domain(f"d{n}", "hall", large=0, small=4) for n in range(4)]
     views += [_domain(f"e{n}", "hall", large=1, small=2) for n in range(2)]
     workload = _work({LARGE: 40.0, SMALL: 100.0}, views)
@@ -266,7 +266,7 @@
     assert next_move(views, views, ENGINE, workload) is not None
 
 
-def test_group_under_repair_is_not_taken_for_missing():
+def test_group_under_repair_is_not_counted_as_missing():
     async def test():
         rebalancer = _rebalancer(VirtualClock())
         whole = _domains()
@@ -276,12 +276,12 @@
         views = [lost, *whole[1:]]
         rebalancer.targets(SERVICE, views, small)
         await asyncio.sleep(MIN_WANTED_S)
-        assert _begun(rebalancer, views, small) == {"d0"}
+        assert _domains_with_moves(rebalancer, views, small) == {"d0"}
 
     run_virtual(test())
 
 
-def test_crowded_model_is_served_by_more_groups_and_nobody_is_cut():
+def test_crowded_model_gets_more_groups_and_no_stream_is_cut():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(5)
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -101,13 +101,15 @@
         await world.add_plain("desk", _never, hall)
         await asyncio.sleep(1)
         await world.lose_hall(hall)
-        found_s = await world.until(lambda: _is_reported_lost(world, hall))
+        detected_after_s = await world.until(lambda: _is_reported_lost(world, hall))
         orders = _orders_into(world, hall)
         await asyncio.sleep(5)
         assert _orders_into(world, hall) == orders
         assert _is_reported_lost(world, hall)
         callers.stop()
-        assert found_s < (MAX_DETECTION_AFTER_TAKEOVER_S if loses_coordinator else MAX_DETECTION_S)
+        assert detected_after_s < (
+            MAX_DETECTION_AFTER_TAKEOVER_S if loses_coordinator else MAX_DETECTION_S
+        )
 
     run_world(test, **HALLS)
 
@@ -116,7 +118,7 @@
     await asyncio.sleep(3600)
 
 
-def test_slow_hall_with_a_silent_node_and_a_group_that_stands_still_is_not_down():
+def test_slow_hall_with_a_silent_node_and_a_stalled_group_is_not_down():
     async def test(world):
         callers = await _serve(world)
         hall = _another_hall(world)
@@ -130,7 +132,7 @@
     run_world(test, **HALLS)
 
 
-def test_coordinator_whose_hall_is_cut_off_finds_nothing():
+def test_coordinator_whose_hall_is_cut_off_detects_no_failure():
     async def test(world):
         callers = await _serve(world)
         own = _hall_of_coordinator(world)
@@ -172,7 +174,7 @@
 
 
 @pytest.mark.parametrize("is_replaced", [False, True])
-def test_hosts_of_a_hall_that_is_back_serve_again_without_haste(is_replaced):
+def test_recovered_hall_serves_again_within_the_load_limit(is_replaced):
     async def test(world):
         callers = await _serve(world)
         hall = _another_hall(world)
@@ -181,7 +183,7 @@
         await world.until(lambda: _is_reported_lost(world, hall))
         await asyncio.sleep(3)
         for host in lost:
-            await _come_back(world, host, is_replaced)
+            await _restart(world, host, is_replaced)
         most_loads = 0
         until = world.clock.now() + 9
         while world.clock.now() < until:
@@ -203,7 +205,7 @@
     return sum(head.upstream.hall == hall for head in heads)
 
 
-def test_evacuated_hall_gets_no_weights_until_it_is_taken_back():
+def test_evacuated_hall_loads_no_weights_until_the_evacuation_ends():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -221,7 +223,7 @@
     run_world(test, **HALLS)
 
 
-def test_lost_group_of_an_evacuated_hall_is_formed_anew_without_loads():
+def test_lost_group_of_an_evacuated_hall_is_formed_again_without_loads():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(4)
@@ -250,7 +252,7 @@
     )
 
 
-async def _come_back(world: GatewayWorld, host: HostStandIn, is_replaced: bool) -> None:
+async def _restart(world: GatewayWorld, host: HostStandIn, is_replaced: bool) -> None:
     """Start a host again after a loss of power, under the same id or under a new one."""
     if is_replaced:
         world.store.put(UPSTREAMS, host.id, None)
@@ -268,7 +270,7 @@
     return standing.model not in host.upstream.staged
 
 
-def test_hosts_of_a_hall_that_is_down_are_lost_until_they_show_themselves():
+def test_hosts_of_a_hall_that_is_down_are_lost_until_they_respond():
     async def test():
         directory, clock = UpstreamDirectory(), VirtualClock()
         hosts = HostRegistry(directory, clock)
@@ -325,10 +327,10 @@
         ([replace(STILL, oldest_s=0.5)] * 4, [], False),
     ],
 )
-def test_signs_of_a_hall_that_has_failed(loads, nodes_silent_s, is_down):
+def test_hall_failure_is_detected_from_its_health(loads, nodes_silent_s, is_down):
     assert _detected_halls(loads, nodes_silent_s) == (["a"] if is_down else [])
 
 
-def test_nothing_is_found_unless_a_third_hall_is_alive():
+def test_no_failure_is_detected_without_progress_in_a_third_hall():
     assert _detected_halls([STILL, STILL], [0.7]) == ["a"]
     assert _detected_halls([STILL, STILL], [0.7], third=STILL) == []
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -14,7 +14,7 @@
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
 
-def test_head_that_refuses_twice_as_misdirected_gets_nothing_until_it_opens_anew():
+def test_head_that_rejects_two_requests_as_misdirected_is_excluded_until_it_reopens():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -32,7 +32,7 @@
     run_world(test)
 
 
-def test_accepted_end_of_a_group_that_changes_nothing_is_ordered_ever_more_rarely():
+def test_ineffective_end_orders_are_repeated_with_increasing_delay():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -33,7 +33,7 @@
 
 @pytest.mark.parametrize("rank", [0, 1])
 @pytest.mark.parametrize("back_after_s", [0.05, 0.6])
-def test_group_is_formed_anew_when_a_member_starts_again(rank, back_after_s):
+def test_group_is_formed_again_when_a_member_restarts(rank, back_after_s):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
@@ -59,19 +59,19 @@
     run_world(test, nodes=2)
 
 
-def test_streams_go_on_at_once_where_a_head_starts_again_in_silence():
+def test_streams_resume_at_once_when_a_head_restarts_without_a_reset():
     """Its connections give no reset, so only the list tells that they lead nowhere."""
 
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
         began_at = world.clock.now()
-        asking = [asyncio.create_task(world.stream(60, node=name)) for name in world.nodes]
+        streams = [asyncio.create_task(world.stream(60, node=name)) for name in world.nodes]
         await asyncio.sleep(0.4)
         runs = [hosts[-1] for hosts in world.fabric.checks.runs.values()]
         for head in set(runs):
             world.crashes.begin(head, 0.05, keeps_name=True, is_silent=True)
-        answers = await asyncio.gather(*asking)
+        answers = await asyncio.gather(*streams)
         assert [len(answer.event_ids) for answer in answers] == [60] * len(answers)
         # Sixty events take 2.4 s; the silence alone would show after 1.5 s.
         assert world.clock.now() - began_at < 2.4 + 1.0
@@ -81,7 +81,7 @@
     run_world(test, nodes=2, domains=4)
 
 
-def test_start_while_the_store_is_away_is_found_by_asking():
+def test_restart_during_a_store_outage_is_detected_by_probing():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
@@ -96,7 +96,7 @@
     run_world(test, nodes=2)
 
 
-def test_many_starts_in_a_row_leave_one_upstream_under_the_name():
+def test_repeated_restarts_leave_one_upstream_under_the_name():
     async def test(world):
         await world.until_formed()
         name = upstream_name(member_of_open_group(world, 2).id)
@@ -112,10 +112,10 @@
     run_world(test, nodes=2)
 
 
-def test_list_alone_ends_what_runs_at_an_earlier_start():
+def test_list_alone_ends_requests_at_an_earlier_start():
     async def test(world):
         await world.until_formed()
-        asking = asyncio.create_task(world.stream(60, node="node-1"))
+        stream = asyncio.create_task(world.stream(60, node="node-1"))
         await asyncio.sleep(0.4)
         node = world.nodes["node-1"]
         [runs] = world.fabric.checks.runs.values()
@@ -124,7 +124,7 @@
         node.directory.apply(ListChange(node.directory.revision, [later], []), world.clock.now())
         await asyncio.sleep(0.05)
         assert node.loads.running(before.id) == 0
-        answer = await asking
+        answer = await stream
         assert len(answer.event_ids) == 60
 
     run_world(test, nodes=2)
