--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -143,8 +143,8 @@
         "RESTORE",
         "a holder waits for one whose row is lost",
         f"{GATEWAY}/coordination/lease.py",
-        "is_alone = now >= self._others_may_hold_until",
-        "is_alone = True",
+        "is_sole_holder = now >= self._others_may_hold_until",
+        "is_sole_holder = True",
         LEASE,
     ),
     Breakage(
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -169,7 +169,7 @@
         self._update_from_read(result)
         if (
             result.record is None
-            or self._has_lapsed()
+            or self._has_expired()
             or self._is_earlier_incarnation(result.record)
         ):
             return LeaseState.FREE
@@ -210,7 +210,7 @@
         name = self._holder.rpartition(".")[0]
         return record.holder != self._holder and record.holder.rpartition(".")[0] == name
 
-    def _has_lapsed(self) -> bool:
+    def _has_expired(self) -> bool:
         unchanged_s = self._clock.now() - self._version_seen_at
         return unchanged_s > LEASE_DURATION_S * (1 + CLOCK_RATE_MARGIN)
 
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("nodes", [8, 30, 350])
 @pytest.mark.parametrize("limit", [0.5, 1.1, 2.0])
-def test_limit_is_used_by_nodes_that_have_few_requests_each(nodes, limit):
+def test_limit_is_used_by_nodes_with_few_requests_each(nodes, limit):
     harness, rng = LimitHarness(nodes, limit), random.Random(nodes)
     began_at = harness.clock.now()
     while harness.clock.now() < began_at + 60:
@@ -64,7 +64,7 @@
     assert requests_per_s(harness.sent_at, began_at + 10, began_at + 60) >= min_expected_rate(limit)
 
 
-def test_permits_follow_demand_that_moves():
+def test_permits_follow_changing_demand():
     harness = LimitHarness(8, 2.0)
     for number in (0, 5):
         moved_at = harness.clock.now()
@@ -75,14 +75,14 @@
     assert requests_per_s(harness.sent_at, moved_at + 3, moved_at + 20) >= MIN_USED_SHARE * 2.0
 
 
-def test_what_nobody_wanted_for_long_is_not_given_out_at_once():
+def test_unused_permits_do_not_accumulate_beyond_the_burst():
     allocator = PermitAllocator(0.0)
     allocator.allocate({}, {"u": 1.0}, 10.0)
     (granted,) = allocator.allocate({"a": (PermitCount("u", 50),)}, {"u": 1.0}, 100.0)["a"]
     assert granted.count <= BURST_PERMITS
 
 
-def test_two_nodes_that_want_as_much_get_as_much():
+def test_nodes_with_equal_demand_get_equal_permits():
     allocator = PermitAllocator(0.0)
     got = {"a": 0, "b": 0}
     for step in range(300):
@@ -148,13 +148,13 @@
             assert_limit_kept(self.harness.sent_at, self.harness.limit)
 
 
-def test_word_of_a_coordinator_dates_permits_from_what_it_answers():
+def test_answer_dates_permits_from_the_report_that_it_answers():
     harness = LimitHarness(2, 5.0)
     harness.nodes[0].take([PermitCount(UPSTREAM.id, 2)], harness.clock.now() - permit_s(5.0), 2)
     assert not harness.nodes[0].may_send(UPSTREAM.id)
 
 
-def test_limit_that_sinks_ends_the_permits_that_were_given_out_before():
+def test_limit_that_sinks_revokes_permits_granted_before():
     harness = LimitHarness(1, 30.0)
     node = harness.nodes[0]
     node.take([PermitCount(UPSTREAM.id, 20)], harness.clock.now(), 2)
@@ -164,7 +164,7 @@
     assert not node.may_send(UPSTREAM.id)
 
 
-def test_limit_that_is_told_binds_a_node_that_had_no_answer():
+def test_reported_limit_applies_to_node_without_own_response():
     harness = LimitHarness(1, 5.0)
     other = harness.make_node(1)
     other.limits.take_told([NamedLimit(UPSTREAM.id, 5.0)], harness.clock.now())
--- a/mulleinreach/gateway/coordination/tests/test_sharing.py
+++ b/mulleinreach/gateway/coordination/tests/test_sharing.py
@@ -30,28 +30,28 @@
     run_world(test, nodes=1)
 
 
-def test_nodes_share_what_is_in_flight():
+def test_nodes_share_their_requests_in_flight():
     async def test(world):
         await world.until_formed()
-        asking = [asyncio.create_task(world.stream(60, node="node-0")) for _ in range(6)]
+        requests = [asyncio.create_task(world.stream(60, node="node-0")) for _ in range(6)]
         await asyncio.sleep(0.6)
         other = world.nodes["node-1"]
         heads = other.chooser.heads(MODEL_SERVICE, LARGE)
         assert sum(other.loads.running(h.upstream.id) for h in heads) == 6
-        await asyncio.gather(*asking)
+        await asyncio.gather(*requests)
 
     run_world(test)
 
 
-def test_time_of_a_repair_is_measured_at_the_coordinator():
+def test_coordinator_measures_repair_time():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(request_streams_forever(world, LARGE))
+        requests = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         dying = asyncio.create_task(member_of(world, LARGE, rank=1).die())
         await asyncio.sleep(4)
-        asking.cancel()
+        requests.cancel()
         await dying
         text = (await world.nodes["node-0"]._handle_metrics(None)).body.decode()
         assert "mulleinreach_gateway_repair_seconds_count 1.0" in text
--- a/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
+++ b/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
@@ -61,13 +61,13 @@
     read(decode, sound[:place] + bytes([byte]) + sound[place + 1 :])
 
 
-def test_sighting_of_an_outcome_that_is_not_known_is_refused():
-    spoilt = NodeReport("a", [], sightings=[RunObservation(3, 4, "u", "hall", 99, 0.5)])
+def test_observation_with_unknown_outcome_is_refused():
+    malformed = NodeReport("a", [], sightings=[RunObservation(3, 4, "u", "hall", 99, 0.5)])
     with pytest.raises(PeerError):
-        decode_node_report(encode_node_report(spoilt))
+        decode_node_report(encode_node_report(malformed))
 
 
-def test_list_of_twice_the_hosts_at_the_size_to_design_for_is_read():
+def test_list_of_twice_the_maximum_number_of_hosts_is_decoded():
     member = Membership("g1000047.wide", 1_000_047, 3, MemberState.OPEN)
     hosts = [
         Upstream(
--- a/mulleinreach/gateway/explain.py
+++ b/mulleinreach/gateway/explain.py
@@ -39,10 +39,10 @@
     if start < 0:
         return None
     try:
-        words = shlex.split(text[start:])
+        tokens = shlex.split(text[start:])
     except ValueError:
         return None
-    fields = dict(word.split("=", 1) for word in words if "=" in word)
+    fields = dict(token.split("=", 1) for token in tokens if "=" in token)
     return LogLine(text.strip(), fields)
 
 
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -121,14 +121,14 @@
         """
         is_agreed = self.evacuations.take_passed(evacuated, revision, self.evidence_at)
         if version > self.version and document:
-            self._take_document(document)
+            self._apply_document(document)
         if version > self.version:
             self._known_version = version
             self._newer_announced.set()
         elif version == self.version and is_agreed:
             self.evidence_at = max(self.evidence_at, evidence_at)
 
-    def _take_document(self, document: bytes) -> None:
+    def _apply_document(self, document: bytes) -> None:
         configuration = self._source.decode(document)
         if configuration is not None:
             self._apply(configuration, document)
@@ -157,7 +157,7 @@
         else:
             result = await self._source.wait(self._revision, self._state.wait_s())
         if isinstance(result, ConfigurationRead):
-            if not self._take(result, requested_at):
+            if not self._apply_answer(result, requested_at):
                 await asyncio.sleep(STALE_ANSWER_PAUSE_S)
         elif isinstance(result, HistoryLost):
             self._revision = None
@@ -169,7 +169,7 @@
         requested_at = self._clock.now()
         result = await self._source.read()
         if isinstance(result, ConfigurationRead):
-            self._take(result, requested_at)
+            self._apply_answer(result, requested_at)
         else:
             self._state.record_failure(result.reason)
 
@@ -178,7 +178,7 @@
         if rows is not None and rows == self.operator_rows():
             self.evidence_at = max(self.evidence_at, requested_at)
 
-    def _take(self, result: ConfigurationRead, requested_at: float) -> bool:
+    def _apply_answer(self, result: ConfigurationRead, requested_at: float) -> bool:
         """Take an answer in, unless a newer one is known; returns whether it was taken."""
         if self._revision is not None and result.revision < self._revision:
             self._log.event(
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -54,24 +54,24 @@
         await world.until_formed()
         await asyncio.sleep(3)
         coordinator = world.nodes[world.coordinator()]
-        withheld = []
-        note = coordinator.log.event
+        not_joined = []
+        log_event = coordinator.log.event
 
         def event(name, **fields):
             if name == "group_not_joined":
-                withheld.append(fields)
-            note(name, **fields)
+                not_joined.append(fields)
+            log_event(name, **fields)
 
         coordinator.log.event = event
         host = _open_head(world)
         lost = world.fabric.hosts[host.standing.members[2]]
-        asking = asyncio.create_task(request_streams_forever(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
-        dying = asyncio.create_task(lost.die())
+        host_failure = asyncio.create_task(lost.die())
         await asyncio.sleep(3)
         await world.until(lambda: world.open_groups(LARGE) == 2)
-        asking.cancel()
-        await dying
-        assert withheld == []
+        traffic.cancel()
+        await host_failure
+        assert not_joined == []
 
     run_world(test)
--- a/mulleinreach/gateway/known/tests/test_store_calls.py
+++ b/mulleinreach/gateway/known/tests/test_store_calls.py
@@ -147,10 +147,10 @@
         world.store.put(CONFIGURATION, "newest", make_configuration(2))
         await asyncio.sleep(0.5)
         assert holder.in_force.operator_rows() not in (None, OperatorRows(1))
-        dated = holder.in_force.evidence_at
-        holder.in_force.confirm(rows, dated + 100)
-        assert holder.in_force.evidence_at == dated
-        holder.in_force.confirm(holder.in_force.operator_rows(), dated + 100)
-        assert holder.in_force.evidence_at == dated + 100
+        evidence_at = holder.in_force.evidence_at
+        holder.in_force.confirm(rows, evidence_at + 100)
+        assert holder.in_force.evidence_at == evidence_at
+        holder.in_force.confirm(holder.in_force.operator_rows(), evidence_at + 100)
+        assert holder.in_force.evidence_at == evidence_at + 100
 
     run_world(test, nodes=1, domains=0)
--- a/mulleinreach/gateway/known/tests/test_told_changes.py
+++ b/mulleinreach/gateway/known/tests/test_told_changes.py
@@ -21,16 +21,16 @@
         plain = await world.add_plain("desk-0", echo_path)
         await asyncio.sleep(2)
         names = [n for n in world.nodes if (n == world.coordinator()) == is_coordinator]
-        kept = record_events(world.nodes[names[0]])
+        events = record_events(world.nodes[names[0]])
         leaving = replace(plain.upstream, state=UpstreamState.DRAINING)
         world.store.put(UPSTREAMS, leaving.id, leaving)
         await asyncio.sleep(1)
-        (line,) = event_fields(kept, "upstreams_changed")
+        (line,) = event_fields(events, "upstreams_changed")
         assert (line["new"], line["changed"], line["removed"]) == (0, 1, 0)
         assert line["first_changed"] == leaving.id
         world.store.put(UPSTREAMS, leaving.id, None)
         await asyncio.sleep(1)
-        line = event_fields(kept, "upstreams_changed")[-1]
+        line = event_fields(events, "upstreams_changed")[-1]
         assert (line["new"], line["changed"], line["removed"]) == (0, 0, 1)
         assert line["first_removed"] == leaving.id
 
@@ -40,12 +40,12 @@
 def test_many_new_upstreams_are_counted_and_only_the_first_are_named():
     async def test(world):
         await asyncio.sleep(2)
-        kept = record_events(world.nodes[world.coordinator()])
+        events = record_events(world.nodes[world.coordinator()])
         hosts = 2 * MAX_LOGGED_IDS
         for number in range(hosts):
             await world.add_host(f"extra-{number}", "domain-extra")
         await asyncio.sleep(0.3)
-        lines = event_fields(kept, "upstreams_changed")
+        lines = event_fields(events, "upstreams_changed")
         assert sum(line["new"] for line in lines) == hosts
         assert all(str(line["first_new"]).count(",") < MAX_LOGGED_IDS for line in lines)
 
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -245,7 +245,7 @@
             if not has_changes and self._clock.now() - requested_at >= wait_s:
                 # The store would have answered sooner if anything had changed meanwhile.
                 requested_at += wait_s
-            self._take(result, False, requested_at)
+            self._apply_answer(result, False, requested_at)
             return has_changes
         return False
 
@@ -259,7 +259,7 @@
         if isinstance(result, Unavailable):
             self._note_failure(result)
             return False
-        self._take(result, is_full=True, requested_at=requested_at)
+        self._apply_answer(result, is_full=True, requested_at=requested_at)
         return True
 
     @property
@@ -281,7 +281,7 @@
         self._failed_at = self._clock.now()
         self._state.record_failure(failure.reason)
 
-    def _take(self, result: UpstreamsRead, is_full: bool, requested_at: float) -> None:
+    def _apply_answer(self, result: UpstreamsRead, is_full: bool, requested_at: float) -> None:
         self._state.record_answer()
         known_revision = self._directory.revision
         if known_revision is not None and result.revision < known_revision:
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -114,11 +114,11 @@
         )
         self.ports.orders.listen(self._on_notice)
         self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_content_held)
-        turn = direct_read_schedule(
+        schedule = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
         # The answer to the first question tells whether the second is worth asking.
-        list_turn = replace(turn, extra_s=turn.extra_s + UPSTREAM_LIST_READ_DELAY_S)
+        list_schedule = replace(schedule, extra_s=schedule.extra_s + UPSTREAM_LIST_READ_DELAY_S)
         evacuations = Evacuations(
             self.bounds.evacuation_s, self.identity.regions, self.clock, self.log
         )
@@ -139,7 +139,7 @@
             self.clock,
             self.log,
             self._reads_store_for_all,
-            turn,
+            schedule,
         )
         self.follower = UpstreamFollower(
             CountedSource(self.ports.upstreams, "upstreams", self.store_calls),
@@ -149,7 +149,7 @@
             self._reads_store_for_all,
             self._on_upstreams_changed,
             lambda: self.operator.is_waiting,
-            list_turn,
+            list_schedule,
             self.bounds.heartbeat_s,
         )
 
--- a/mulleinreach/gateway/tests/desk.py
+++ b/mulleinreach/gateway/tests/desk.py
@@ -60,9 +60,9 @@
     return response
 
 
-async def start_plain_upstreams(world, *scripts):
+async def start_plain_upstreams(world, *handlers):
     """Start one upstream for each script, and wait until the node knows them."""
-    for number, script in enumerate(scripts):
-        await world.add_plain(f"desk-{number}", script)
-    await world.until(lambda: len(world.nodes["node-0"].directory) >= len(scripts))
+    for number, handler in enumerate(handlers):
+        await world.add_plain(f"desk-{number}", handler)
+    await world.until(lambda: len(world.nodes["node-0"].directory) >= len(handlers))
     await world.until(lambda: world.nodes["node-0"].is_ready())
