--- a/mulleinreach/gateway/fleet/allocation.py
+++ b/mulleinreach/gateway/fleet/allocation.py
@@ -1,11 +1,11 @@
-"""Decides over all domains of a service how many groups of which model there should be.
+"""Allocates the hosts of a service to models, over all of its domains.
 
 Explanation
 ===========
 
-While no model is crowded, each domain keeps a group of each model. Once one is, what
-counts is how much longer its requests wait: hosts go where they shorten that max_ended, and
-groups of a model that has places to spare give way to those of the crowded one.
+A model is *crowded* if so many of its slots are in use that requests often queue. While no
+model is crowded, each domain keeps a group of each model. Otherwise free hosts go where they
+reduce queueing most, and hosts of models with free slots move to crowded models.
 """
 
 from __future__ import annotations
@@ -23,36 +23,30 @@
 )
 from mulleinreach.gateway.model import EngineModel, EngineProfile
 
-# Groups of a model that may be lost at any moment: the others have to bear its work. Two,
-# since a second one may fail while the first is under repair.
+# A second group may fail while the first is under repair.
 RESERVE_GROUPS = 2
-# The share of places in use above which a model is crowded, and below which it is so no more.
-# With one limit of 0.45, moves in bursts took groups that were missed when hosts were lost in
-# turn (0.06 of a day's worth on one of two such days of 48 hosts). At 0.66, a fifth of the
-# requests was late on a site of 162 hosts.
+# Fractions of slots in use; the gap is a hysteresis against moves back and forth.
 CROWDED_USAGE = 0.6
 RELIEVED_USAGE = 0.45
-# A move has to lower the cost by this share: meanwhile its hosts serve no caller for two to
-# four seconds, so a smaller gain is lost on those who wait.
+# Fraction of the cost; a move interrupts service of its hosts, so small gains do not pay.
 MIN_MOVE_GAIN = 0.2
-# Moves under way at a time; each is followed by what it changes within some seconds.
 MAX_CONCURRENT_MOVES = 3
-# Callers hardly wait at half of the places and long at nearly all; a cube weighs them so.
+# Queueing time grows faster than usage.
 COST_EXPONENT = 3
 
 
 @dataclass(frozen=True)
 class Workload:
-    """The work of a service's models.
+    """The demand for a service's models, and the reserve to keep for failures.
 
     Parameters
     ==========
 
-    slots : places of a group.
-    demand : demand that requests of each model hold or wait for; empty before the first ones.
-    crowded : the models whose requests often wait, since so many of their places are in use.
-    max_hall_groups : the groups of each model in the hall that has most of them; empty where no
-        hall may be lost.
+    slots : slots per group.
+    demand : slots that requests of each model hold or wait for; empty before the first ones.
+    crowded : the models whose requests often queue.
+    max_hall_groups : the groups of each model in the hall that has most of them; empty if the
+        loss of a hall is not planned for.
     """
 
     slots: int
@@ -61,7 +55,7 @@
     max_hall_groups: Mapping[str, int] = field(default_factory=dict)
 
     def reserve(self, model: str) -> int:
-        """Return how many groups of a model may be lost at any moment.
+        """Return how many groups of a model may fail at the same time.
 
         Examples
         ========
@@ -73,7 +67,7 @@
         return max(RESERVE_GROUPS, self.max_hall_groups.get(model, 0))
 
     def usage_without_reserve(self, model: str, groups: int) -> float:
-        """Return the share of a model's places in use once the reserve is lost.
+        """Return the fraction of a model's slots in use after the loss of the reserve.
 
         Examples
         ========
@@ -88,26 +82,26 @@
         return self.demand.get(model, 0.0) / (self.slots * remaining)
 
     def cost(self, model: str, groups: int) -> float:
-        """Return how much the requests of a model wait, in no unit."""
+        """Return a relative measure of how long the requests of a model queue."""
         return (
             self.demand.get(model, 0.0) * self.usage_without_reserve(model, groups) ** COST_EXPONENT
         )
 
     def usage(self, model: str, groups: int) -> float:
-        """Return the share of a model's places in use."""
+        """Return the fraction of a model's slots in use."""
         return self.demand.get(model, 0.0) / (self.slots * max(1, groups))
 
 
 @dataclass(frozen=True)
 class Move:
-    """End some groups of one model in a domain, and form groups of another there.
+    """Dissolve groups of one model in a domain and form groups of another model there.
 
     Parameters
     ==========
 
-    ended : the groups to be ended.
-    count : how many groups of ``to_model`` the domain has after it.
-    is_ready : whether enough hosts hold the other model already.
+    ended : the groups to dissolve.
+    count : the number of groups of ``to_model`` in the domain afterwards.
+    is_ready : whether enough hosts have the weights of ``to_model`` already.
     """
 
     domain: str
@@ -119,7 +113,7 @@
 
 
 def total_groups(views: list[DomainView]) -> Counter[str]:
-    """Return how many groups of each model all domains have or are about to have."""
+    """Return the number of groups of each model, serving or being formed, in all domains."""
     totals: Counter[str] = Counter()
     for view in views:
         totals.update(view.groups)
@@ -127,7 +121,7 @@
 
 
 def max_groups_per_hall(views: list[DomainView]) -> dict[str, int]:
-    """Return how many groups of each model the hall has that has most of them.
+    """Return the number of groups of each model in the hall with the most of them.
 
     Examples
     ========
@@ -153,12 +147,12 @@
 def crowded_models(
     views: list[DomainView], workload: Workload, before: frozenset[str]
 ) -> frozenset[str]:
-    """Return the models that are crowded now.
+    """Return the models that are crowded.
 
     Parameters
     ==========
 
-    before : the models that were crowded so far.
+    before : the models that were crowded before; they stay so down to ``RELIEVED_USAGE``.
 
     Examples
     ========
@@ -215,9 +209,10 @@
     workload: Workload,
     totals: Counter[str],
 ) -> Iterator[tuple[tuple[int, float], str, str]]:
-    """Yield what each further group that fits in a domain would bring.
+    """Yield the value, domain and model of each additional group that fits in a domain.
 
-    First counts how many groups its model lacks to the reserve, then the gain of each host.
+    The value is the number of groups that the model is short of its reserve, then the cost
+    reduction per host.
     """
     for model in engine.models:
         count = totals[model.name]
@@ -235,7 +230,7 @@
 def _reserved_hosts(
     domain_targets: dict[str, int], workload: Workload, model: EngineModel, count: int
 ) -> int:
-    """Return how many hosts of a domain a further group of a model leaves for standbys."""
+    """Return how many hosts of a domain to reserve for standbys when adding a group."""
     if domain_targets[model.name] == 0 or workload.usage(model.name, count) > HIGH_USAGE:
         return 0
     return STANDBYS_PER_MODEL * len(domain_targets)
@@ -248,13 +243,13 @@
     workload: Workload,
     cooling_down: Collection[str] = (),
 ) -> Move | None:
-    """Return the move that lowers the cost max_ended, if one is worth it.
+    """Return the best move, or ``None`` if none reduces the cost by ``MIN_MOVE_GAIN``.
 
     Parameters
     ==========
 
     movable : the domains in which a move may begin.
-    cooling_down : models whose groups give way only to one that is down to its reserve.
+    cooling_down : models whose hosts move only to a model that is down to its reserve.
 
     Examples
     ========
@@ -286,7 +281,7 @@
             after[move.from_model] -= len(move.ended)
             after[move.to_model] += move.count - view.groups.get(move.to_model, 0)
             cost_after = _cost(workload, engine, after)
-            # Groups of the model that gives way should remain in many halls.
+            # Prefer halls with many groups of the source model, so that it stays in all halls.
             in_hall = by_hall[view.hall][move.from_model]
             rank = (move.is_ready, -cost_after, in_hall, view.name)
             if cost_after <= (1 - MIN_MOVE_GAIN) * cost_before and (best is None or rank > best[0]):
@@ -301,12 +296,12 @@
 def _moves_in(
     view: DomainView, engine: EngineProfile, workload: Workload, totals: Counter[str]
 ) -> Iterator[Move]:
-    """Yield the smallest moves in one domain that help a crowded model."""
+    """Yield the smallest possible moves of one domain to crowded models."""
     for target in engine.models:
         if target.name not in workload.crowded:
             continue
         for source in engine.models:
-            # The last groups of a model stay, even if nobody asks for it at the moment.
+            # Each model keeps its reserve and one more group, even without requests.
             max_ended = totals[source.name] - workload.reserve(source.name) - 1
             if source is target or max_ended < 1:
                 continue
@@ -318,12 +313,12 @@
 def _smallest_move(
     view: DomainView, source: EngineModel, target: EngineModel, max_ended: int
 ) -> Move | None:
-    """Return the move that ends the fewest groups of a model for a group of another one.
+    """Return the move that dissolves the fewest groups of ``source`` to form one of ``target``.
 
     Parameters
     ==========
 
-    max_ended : how many groups may be ended.
+    max_ended : how many groups of ``source`` may be dissolved.
     """
     candidates = [group for group in view.serving if group.model == source.name]
     candidates.sort(key=lambda group: -sum(host.holds(target.name) for host in group.members))
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -1,12 +1,11 @@
-"""The coordinator's duty: forms groups, notices lost members, and repairs.
+"""The coordinator's control loop: forms groups, detects lost members and repairs groups.
 
 Explanation
 ===========
 
-Everything is decided anew from the list of hosts and their own reports, so that
-a new coordinator goes on where the last one stopped. A head whose requests all
-stand still is the first sign of a lost member, and it costs nothing; only then
-are the group's members asked.
+Each pass derives its decisions from the host list and the hosts' own reports, so a new
+coordinator can continue the work of the previous one. If all requests at a group's head
+stall, the members of the group are probed.
 """
 
 from __future__ import annotations
@@ -37,14 +36,14 @@
 
 @dataclass(frozen=True)
 class FleetStatus:
-    """What the coordinator tells of its fleet.
+    """The state of groups and hosts that the coordinator publishes to all nodes.
 
     Parameters
     ==========
 
-    heads : the groups that take requests.
-    lost : upstreams that give no answer, or whose hall gives none.
-    retiring : heads that finish their work and take nothing new.
+    heads : the heads of groups that accept requests.
+    lost : upstreams that do not respond, or whose hall is down.
+    retiring : heads that finish their requests in flight and accept no new ones.
     """
 
     heads: list[OpenHead]
@@ -53,18 +52,18 @@
 
 
 class FleetController:
-    """Keeps the groups of all model services.
+    """Manages the groups of all model services.
 
     Parameters
     ==========
 
     hall : the hall of this node.
-    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
-    loads : returns the load of all nodes together.
-    nodes : returns the nodes that were heard lately.
-    is_first_holder : whether no other life of a node has coordinated before.
-    reread_hosts : reads the whole list of hosts; what an earlier coordinator did last
-        must be seen before anything is decided.
+    tolerates_hall_loss : whether capacity is planned for the loss of a whole hall.
+    loads : returns the load of each upstream, summed over all nodes.
+    nodes : returns the nodes that reported recently.
+    is_first_holder : returns whether this term of the lease is the very first one.
+    reread_hosts : rereads the whole host list from the store, including the last changes of
+        an earlier coordinator; returns whether it succeeded.
     """
 
     def __init__(
@@ -104,12 +103,12 @@
         )
 
     def notify(self) -> None:
-        """The list of hosts has changed."""
+        """Handle a change of the host list."""
         self._operator.notify()
         self._host_tasks.wake.set()
 
     async def run(self) -> None:
-        """Do the duty until cancelled."""
+        """Run the control loop until cancelled."""
         self._placement.load_limiter.is_limited = not self._is_first_holder()
         try:
             while not await self._reread_hosts():
@@ -138,7 +137,7 @@
         return [s for s in configuration.services.values() if s.engine and s.engine.models]
 
     def _open_heads(self) -> list[Head]:
-        """Return the open groups of all services, those of lost hosts too."""
+        """Return the open heads of all services, including those of lost hosts."""
         return [
             head
             for service in self._model_services()
@@ -146,7 +145,7 @@
         ]
 
     def describe(self) -> FleetStatus:
-        """Return what all nodes should know of groups and hosts."""
+        """Return the state of groups and hosts to publish to all nodes."""
         retiring = self._hosts.retiring_heads()
         heads = []
         for service in self._model_services():
--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -1,4 +1,4 @@
-"""Runs duties on hosts, and marks the hosts busy meanwhile."""
+"""Runs background tasks on hosts, and marks the hosts busy meanwhile."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HostTasks:
-    """The duties under way; ``wake`` is set when one has ended or the list has changed."""
+    """The running tasks; ``wake`` is set when one has ended or the host list has changed."""
 
     def __init__(self, hosts: HostRegistry, log: EventLog):
         self._hosts = hosts
@@ -21,13 +21,13 @@
         self.wake = asyncio.Event()
 
     def spawn(self, task: Coroutine, hosts: Iterable[Upstream]) -> None:
-        """Run a duty that no other one may disturb on these hosts."""
+        """Run a task with exclusive use of these hosts."""
         taken = {host.id for host in hosts}
         self._hosts.busy |= taken
         self._tasks.spawn(self._guarded(task, taken))
 
     def spawn_probe(self, probe: Coroutine) -> None:
-        """Ask hosts something, which disturbs no duty."""
+        """Run a read-only probe, which does not mark hosts busy."""
         self._tasks.spawn(probe)
 
     async def _guarded(self, task: Coroutine, taken: set[str]) -> None:
@@ -40,5 +40,5 @@
             self.wake.set()
 
     async def close(self) -> None:
-        """End everything."""
+        """Cancel all tasks."""
         await self._tasks.close()
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -1,14 +1,12 @@
-"""Carries out the forming and ending of groups by orders to hosts.
+"""Forms and dissolves groups by sending orders to hosts.
 
 Explanation
 ===========
 
-Three facts keep a late or doubled order harmless. Epochs rise over all
-coordinators, so that a late join is refused by a host that has seen a newer one.
-``open`` is sent only when every member was seen ready under the group's name and
-epoch, and an epoch is used for one list of members only. And no member is taken
-out of a group before its head was seen to have left it; if the head can't be
-reached, the members are told to leave first.
+Delayed and duplicated orders are harmless. Epochs increase across all coordinators, so hosts
+reject outdated joins. ``open`` is sent only after all members were observed ready in the
+group's epoch, which has a single list of members. Members are used elsewhere only after the
+head, or else the member itself, has left the group.
 """
 
 from __future__ import annotations
@@ -38,21 +36,21 @@
 PROBE_TIMEOUT_S = 0.25
 POLL_INTERVAL_S = 0.4
 OPEN_TIMEOUT_S = 2.0
-# A step that should take longer waits for weights, and is followed by the list alone.
+# Steps with a longer timeout load weights; during them hosts are not polled.
 QUICK_STEP_TIMEOUT_S = 3.0
-# Reports may be a little older than the engines' settings say.
+# Reports may be slightly older than the engine settings state.
 REPORT_LAG_MARGIN_S = 0.05
 
 
 class Outcome(enum.Enum):
-    """How an attempt to form a group ended."""
+    """The result of opening a group."""
 
     DONE = enum.auto()
     FAILED = enum.auto()
 
 
 class JoinOutcome(enum.Enum):
-    """How an attempt to join hosts ended; ``WITHHELD`` if no order was given."""
+    """The result of joining hosts into a group; ``WITHHELD`` if no order was sent."""
 
     READY = enum.auto()
     NOT_READY = enum.auto()
@@ -60,17 +58,17 @@
 
 
 class LeaseLost(Exception):
-    """The lease ended or has a later holder, so no more orders may be given."""
+    """The lease has expired or has a newer holder, so no more orders may be sent."""
 
 
 class GroupOperator:
-    """Gives the orders of one coordinator.
+    """Sends the orders of this coordinator to hosts.
 
     Parameters
     ==========
 
-    report_lag_s : returns how old the state is that reports of a service's hosts show.
-    is_resting : whether a host wants nothing from this node for now.
+    report_lag_s : returns the age in seconds of the state in reports of a service's hosts.
+    is_resting : returns whether a host is resting: it asked this node to pause requests.
     """
 
     def __init__(
@@ -98,27 +96,27 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether a step that takes no load of weights waits for a host's state."""
+        """Whether a step without a load of weights is waiting for a host's state."""
         return self._quick_waits > 0
 
     def is_lease_fresh(self) -> bool:
-        """Whether orders can be given for the next second at least."""
+        """Whether the lease remains valid for at least the next second."""
         return self._lease.is_fresh()
 
     def notify(self) -> None:
-        """Wake those who wait for a host's state."""
+        """Wake all waiters for a host's state."""
         self._state_changed.set()
         self._state_changed = asyncio.Event()
 
     def next_epoch(self) -> int:
-        """Return an epoch above all that were used under this and earlier leases."""
+        """Return an epoch greater than all epochs used under this and earlier leases."""
         self._issued_epochs += 1
         return self._lease.token * EPOCHS_PER_TOKEN + self._issued_epochs
 
     async def probe(
         self, host: Upstream, timeout_s: float = PROBE_TIMEOUT_S
     ) -> Upstream | Unavailable:
-        """Ask a host for its state; returns the newest that is known if it answers."""
+        """Request a host's state; returns the newest known state if the host responds."""
         as_of = self._clock.now() - self._lag_s(host)
         report = await self._orders.report(host, timeout_s)
         if isinstance(report, Unavailable):
@@ -130,21 +128,23 @@
     def _lag_s(self, host: Upstream) -> float:
         return self._report_lag_s(host.service) + REPORT_LAG_MARGIN_S
 
-    # PendingFormation.
+    # Forming groups.
 
     async def join_all(
         self, model: str, members: list[Upstream], timeout_s: float
     ) -> tuple[Group, JoinOutcome]:
-        """Join hosts into a new group; returns it, and what came of it.
+        """Join hosts into a new group; returns the group and the result.
 
-        Rows may be older than what the hosts last did, as after an outage of the
-        store; so each host is asked first whether it still stands where it is thought to.
+        Stored rows may be stale, for example after a store outage, so the membership of
+        each host is verified with the host first.
         """
         epoch = self.next_epoch()
         name = group_name(epoch, model)
         ids = [member.id for member in members]
         if not all(await asyncio.gather(*(self._matches_known_group(m) for m in members))):
-            self._log.event("group_not_joined", group=name, why="a host stands elsewhere")
+            self._log.event(
+                "group_not_joined", group=name, why="the membership of a host is not confirmed"
+            )
             return Group(name, epoch, dict(enumerate(members))), JoinOutcome.WITHHELD
         self._log.event("group_joining", group=name, model=model, members=",".join(ids))
         joins = [self._join(member, name, epoch, model, ids) for member in members]
@@ -160,10 +160,10 @@
         return group, JoinOutcome.READY
 
     async def _matches_known_group(self, member: Upstream) -> bool:
-        """Whether a host itself says that it stands in the group that its row tells.
+        """Whether a host's own report confirms its known membership.
 
-        A report is some tenths of a second old. One that tells of just the group which
-        the host has left on our order since then is no contradiction.
+        Reports are slightly delayed, so a report may still show the group that the host has
+        just left on this coordinator's order.
         """
         as_of = self._clock.now() - self._lag_s(member)
         report = await self._orders.report(member, PROBE_TIMEOUT_S)
@@ -193,10 +193,9 @@
         return False
 
     def _attempts(self, host: Upstream) -> Iterator[int]:
-        """Count the tries of an order, for as long as it may be given once more.
+        """Yield the number of each permitted attempt of an order.
 
-        A host that wants rest still gets a first order, since groups wait for it; it gets none
-        again and again.
+        A resting host gets the first attempt, but no retries.
         """
         for number in range(MAX_ORDER_ATTEMPTS):
             self._check_lease()
@@ -205,7 +204,7 @@
             yield number
 
     async def stage(self, host: Upstream, model: str, timeout_s: float) -> bool:
-        """Have a host load a model's weights beside its work; returns whether it has them."""
+        """Have a host load a second model's weights; returns whether it has them."""
         result: OrderResult | None = None
         for _ in self._attempts(host):
             result = await self._orders.stage(host, model, self._lease.token)
@@ -221,7 +220,7 @@
         return known is not None and model in known.staged
 
     async def open(self, group: Group) -> Outcome:
-        """Let a group serve whose members were all seen ready."""
+        """Open a group whose members were all observed ready."""
         head = group.head
         deadline = self._clock.now() + OPEN_TIMEOUT_S
         while self._clock.now() < deadline:
@@ -242,17 +241,17 @@
         return Outcome.FAILED
 
     def record_repair(self, missing_s: float | None) -> None:
-        """Take in for how long the group that was opened last had been missing, if it was."""
+        """Record how long the group that was just opened had been missing, if known."""
         if missing_s is not None:
             self._metrics.observe_repair(missing_s)
 
-    # Ending.
+    # Dissolving groups.
 
     async def dissolve(self, group: Group) -> set[str] | None:
-        """End a group, so that its members may be used in others.
+        """Dissolve a group, so that its members can join other groups.
 
-        Returns ``None`` if the head has left, which frees all members; else the
-        members that have left themselves.
+        Returns ``None`` if the head has left, which frees all members; otherwise the
+        members that have left.
         """
         head = group.head
         if head is not None and not self._hosts.is_lost(head.id):
@@ -271,7 +270,7 @@
             if isinstance(result, Accepted):
                 self._hosts.record_left(member.id, group)
             if not isinstance(result, NoAnswer):
-                # A host that refuses to leave a group does not stand in it.
+                # A host that rejects the order is not a member of the group.
                 return True
             report = await self.probe(member)
             if isinstance(report, Unavailable):
@@ -280,7 +279,7 @@
                 return True
         return False
 
-    # What hosts say.
+    # Host states.
 
     def _is_member(self, host: str, name: str, epoch: int) -> bool:
         known = self._hosts.get(host)
@@ -305,7 +304,7 @@
         return known.membership.state is MemberState.OPEN
 
     async def _wait_until(self, is_met, members: list[Upstream], timeout_s: float) -> bool:
-        """Wait until hosts say what is hoped for; ask them when their list is silent."""
+        """Wait until a condition holds; quick steps poll the members between list updates."""
         is_quick = timeout_s < QUICK_STEP_TIMEOUT_S
         self._quick_waits += is_quick
         try:
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -1,19 +1,15 @@
-"""Finds that a whole hall has failed, and that it is back.
+"""Detects the failure and the recovery of whole halls.
 
 Explanation
 ===========
 
-A hall that loses power takes its nodes and its hosts along in one moment. Each group would
-be found silent by itself, and its members be asked one by one. Two signs together tell it
-sooner and without a question: no head there answers, and no node there reports. Then all
-upstreams of the hall are lost at once, and no order goes there.
+A hall counts as down when no head in it makes progress and no node in it reports. Its
+upstreams are then lost at once, without probing each group, and get no orders. The hall is
+up again when one of its nodes reports, a host responds or a host's row changes; each of the
+other hosts stays lost until it responds.
 
-The finding holds until a node there reports, a host answers or a host's row changes. Hosts
-that have not shown themselves by then stay lost, each until it answers.
-
-A coordinator whose own hall is cut off sees all others fail at once. So nothing is found
-unless requests make progress in a third hall; with two halls, groups are only looked at one
-by one.
+A coordinator in a hall that is cut off sees all other halls fail. So a failure is declared
+only if requests progress in a third hall; with two halls, only single groups are checked.
 """
 
 from __future__ import annotations
@@ -32,41 +28,35 @@
 from mulleinreach.gateway.ports import Unavailable
 from mulleinreach.gateway.upstream import Upstream
 
-# A busy group gives some caller a byte every few tens of milliseconds. Callers wait for what
-# stands still, so no longer than it takes until a group by itself is suspected.
 STALLED_HEAD_S = 0.3
-# Three reports where there are many nodes. A single node that is short of processor time
-# may be as late, but not all nodes of a hall at once.
+# Longer than a single slow node delays its reports.
 SILENT_NODES_S = 0.6
-# One group may stand still for a lost member; two at once are no accident of one group.
+# A single group may stall because of a lost member.
 MIN_STALLED_HEADS = 2
-# Where no node tells of the hall, heads alone must stand still for longer than a report or a
-# garbage collection is late. Nodes leave a head that stands still a little later (1.3 s).
+# For halls without nodes; longer than a delayed report or a garbage collection.
 LONG_STALLED_HEAD_S = 1.0
-# Nodes report no more often than that, and adding up the loads of all nodes takes time.
 HALL_CHECK_INTERVAL_S = 0.1
-# Callers wait for the places of a hall that is back, and a question costs a host little.
 PROBE_INTERVAL_S = 1.0
-# A host that is asked may be one that doesn't come back.
+# More than one, since a single probed host may never recover.
 HOSTS_PER_PROBE_ROUND = 2
-# Rows that were written just before the failure are heard of by then.
+# Rows written just before the failure are received within this time.
 ROW_DELAY_S = 1.0
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True)
 class HallHealth:
-    """What tells whether a hall is alive.
+    """The observations that decide whether a hall is down.
 
     Parameters
     ==========
 
-    heads : open groups there.
-    progressing : those that gave a byte of an answer lately.
-    stalled : those whose requests stand still, or that were found to be lost.
-    long_stalled : those of the latter that have stood still for so long that they tell alone.
-    nodes : nodes there that were heard in the last seconds.
-    nodes_silent_s : time since any of them was heard; infinite without one.
+    heads : the number of open heads in the hall.
+    progressing : heads that sent response data recently.
+    stalled : heads that are lost, or whose requests have stalled.
+    long_stalled : stalled heads for at least ``LONG_STALLED_HEAD_S``.
+    nodes : nodes in the hall that reported within the last seconds.
+    nodes_silent_s : time since the latest report of these nodes; infinite without nodes.
     """
 
     hall: str
@@ -78,7 +68,7 @@
     nodes_silent_s: float
 
     def has_failed(self) -> bool:
-        """Whether these signs are those of a hall that has failed.
+        """Whether the hall has failed by these observations.
 
         Examples
         ========
@@ -99,29 +89,29 @@
             return False
         if self.nodes:
             return self.nodes_silent_s >= SILENT_NODES_S
-        # Nodes pass over heads that stand still, so not all of them have requests.
+        # Nodes avoid stalled heads, so not every head has requests.
         return self.long_stalled >= max(least, self.heads / 2)
 
 
 @dataclass
 class _FailedHall:
-    """A hall that has failed, and the rows of its upstreams as they stood last."""
+    """A hall that is down, and the last known rows of its upstreams."""
 
     failed_at: float
     rows: dict[str, Upstream]
-    # When hosts there were asked last, and how often: it decides which ones are next.
     probed_at: float = NEVER
+    # Selects the hosts to probe next.
     probe_rounds: int = 0
 
 
 class HallMonitor:
-    """Looks at all halls, and tells :class:`HostRegistry` which ones are failure.
+    """Monitors all halls, and marks failed ones as down in :class:`HostRegistry`.
 
     Parameters
     ==========
 
     own_hall : the hall of this node.
-    nodes : returns the nodes that were heard lately.
+    nodes : returns the nodes that reported recently.
     """
 
     def __init__(
@@ -145,12 +135,12 @@
         self._failures: dict[str, _FailedHall] = {}
 
     def check_halls(self, heads: Iterable[Head]) -> None:
-        """Decide which halls are down.
+        """Detect halls that have failed or recovered.
 
         Parameters
         ==========
 
-        heads : the open groups of all services, those of lost hosts too.
+        heads : the open heads of all services, including those of lost hosts.
         """
         now = self._clock.now()
         if now - self._checked_at < HALL_CHECK_INTERVAL_S:
@@ -165,9 +155,9 @@
                 self._mark_down(health)
 
     def _hall_health(self, heads: list[Head], nodes: list[RecentNode]) -> list[HallHealth]:
-        """Return the signs of all halls with open groups.
+        """Return the health of all halls with open groups.
 
-        What a silent node told last would show progress that there is no more.
+        The last reports of silent nodes are left out, since they show outdated progress.
         """
         heard = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
         loads = {load.upstream_id: load for load in sum_loads(heard)}
@@ -209,14 +199,14 @@
                 self._host_tasks.spawn_probe(self._probe(hall, host))
 
     def _has_changed(self, hall: str, failure: _FailedHall) -> bool:
-        """Whether a row there has changed or come; one that goes has merely lapsed."""
+        """Whether a row of the hall was changed or added; removed rows have only expired."""
         rows = self._hosts.upstreams_in_hall(hall)
         if self._clock.now() - failure.failed_at < ROW_DELAY_S:
             failure.rows = rows
         return any(failure.rows.get(host) != upstream for host, upstream in rows.items())
 
     def _next_probed(self, failure: _FailedHall) -> list[Upstream]:
-        """Return the hosts to be asked next, each in its turn, and far from each other."""
+        """Return the hosts to probe next, in turn and from different domains if possible."""
         hosts = [upstream for upstream in failure.rows.values() if upstream.domain is not None]
         hosts.sort(key=lambda host: (host.domain, host.id))
         stride = max(1, len(hosts) // HOSTS_PER_PROBE_ROUND)
@@ -242,9 +232,9 @@
         self._log.event("hall_up", hall=hall, why=why, down_for_s=down_for_s, back=len(recovered))
 
     def end_term(self) -> None:
-        """Leave halls that are down as single hosts that gave no answer."""
+        """Clear all hall failures; hosts that have not responded stay lost individually."""
         for hall in list(self._failures):
-            self._mark_up(hall, "the duty ends")
+            self._mark_up(hall, "the coordinator's term has ended")
 
 
 def assess_hall(
@@ -254,14 +244,14 @@
     lost: set[str],
     nodes: list[RecentNode],
 ) -> HallHealth:
-    """Return what tells whether a hall is alive.
+    """Return the health of one hall.
 
     Parameters
     ==========
 
-    heads : the open groups there.
-    loads : what the nodes that were heard lately have in flight, by upstream.
-    lost : heads that were found to give no answer.
+    heads : the open heads in the hall.
+    loads : the requests in flight of all nodes that reported recently, by upstream.
+    lost : the ids of heads that do not respond.
     """
     silent_s = [node.silent_s for node in nodes if node.report.hall == hall]
     stalled_s = [_stalled_for_s(h.upstream.id, loads, lost) for h in heads]
@@ -277,7 +267,7 @@
 
 
 def _stalled_for_s(head: str, loads: dict[str, LoadReport], lost: set[str]) -> float:
-    """Return for how long requests at a head have stood still; 0 without any."""
+    """Return for how many seconds the requests at a head have stalled; 0 without requests."""
     if head in lost:
         return float("inf")
     load = loads.get(head)
@@ -290,7 +280,7 @@
 
 
 def failed_halls(halls: list[HallHealth], own_hall: str) -> list[HallHealth]:
-    """Return the halls that have failed, if a third one shows that others haven't.
+    """Return the halls that have failed; none unless requests progress in a third hall.
 
     Examples
     ========
@@ -307,6 +297,6 @@
 
 
 def _may_have_failed(heads: list[Head], nodes: list[RecentNode]) -> bool:
-    """Whether the nodes of some hall are silent, which costs little to see."""
+    """Whether the nodes of some hall are silent; a cheap check before loads are summed."""
     alive = {node.report.hall for node in nodes if node.silent_s < SILENT_NODES_S}
     return any(head.upstream.hall not in alive for head in heads)
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -1,4 +1,4 @@
-"""What the coordinator knows of hosts beyond their list: who is busy, lost or free."""
+"""The coordinator's state of hosts and groups beyond the host list: lost, busy, retiring."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
 LOST_RETENTION_S = 30.0
-# Retiring takes less; what is older concerns a group that is gone from the list.
+# Longer than any retirement takes; older entries belong to groups that are gone.
 RETIRING_RETENTION_S = 8.0
+# Relative duration of a host's work; 1.0 is usual.
 MAX_NORMAL_PACE = 1.6
 MAX_PACE_AGE_S = 3.0
-# By then the list shows that a head has left its group.
+# The list shows within this time that a head has left its group.
 END_VISIBLE_S = 1.0
 MAX_END_RETRY_DOUBLINGS = 4
 NEVER = float("-inf")
@@ -23,10 +24,10 @@
 
 @dataclass
 class EndedGroup:
-    """A group that this coordinator ended, and who is known to have left it.
+    """A group that this coordinator dissolved, and the members that have left it.
 
-    ``left`` is ``None`` if the head has left, after which every member is free;
-    ``tries`` counts how often the group was told to end.
+    ``left_members`` is ``None`` if the head has left, which frees all members;
+    ``attempts`` counts how often the group was ordered to end.
     """
 
     ended_at: float
@@ -36,9 +37,9 @@
 
 @dataclass(frozen=True)
 class RetiringGroup:
-    """A group that takes nothing new, and is ended when it has finished its work.
+    """A group that accepts no new requests, and is dissolved after those in flight.
 
-    ``yields_hosts`` if its hosts are to serve another model.
+    ``yields_hosts`` if its hosts are to move to another model.
     """
 
     head: str
@@ -48,9 +49,9 @@
 
 @dataclass(frozen=True)
 class GroupDeparture:
-    """A group, by name and epoch, that a host was told to leave and took the order.
+    """A host's accepted order to leave a group, which is given by name and epoch.
 
-    A host that stands in another group takes such an order too, and stays there.
+    A host that is a member of another group accepts such an order too, and stays there.
     """
 
     key: tuple[str, int]
@@ -59,7 +60,7 @@
 
 @dataclass(frozen=True)
 class PendingFormation:
-    """A group, or a standby on its own, that is being formed."""
+    """A group or a standby host that is being formed."""
 
     domain: str
     model: str
@@ -67,14 +68,14 @@
 
 
 class HostRegistry:
-    """Hosts by id: the list, what hosts reported themselves, and what was found out.
+    """Hosts by id, from the host list, their own reports and the coordinator's probes.
 
     Explanation
     ===========
 
-    A host is *lost* when it gave no answer while its group stood still, or when its whole
-    hall is down; plain upstreams are lost with their hall alone. A host
-    that is on no list any more is remembered for a while, since it may still run.
+    A host is *lost* if it did not respond to a probe or an order, or if its hall is down;
+    upstreams without a domain are lost only with their hall. Hosts that left the list
+    are kept, since they may still run.
     """
 
     def __init__(self, directory: UpstreamDirectory, clock: Clock):
@@ -95,11 +96,10 @@
         self._grace_ends_at = NEVER
         self.forming: dict[int, PendingFormation] = {}
         self.busy: set[str] = set()
-        # Halls of which nothing answers.
         self.down_halls: set[str] = set()
 
     def refresh(self, service: str) -> None:
-        """Take in the latest list."""
+        """Update the hosts of a service from the latest list."""
         for host, upstream in self._ever_listed.items():
             if upstream.service == service and self._directory.get(host) is None:
                 self._delisted_at.setdefault(host, self._clock.now())
@@ -114,19 +114,19 @@
                 self._heads[upstream.place] = upstream.id
 
     def _update_cold_deadline(self, upstream: Upstream) -> None:
-        """Note until when a host is cold, as its row told when it was new here."""
+        """Set the end of a host's cold period when its row is new or announces another one."""
         before = self._ever_listed.get(upstream.id)
         if before is None or before.cold_s != upstream.cold_s:
             self._cold_until[upstream.id] = self._clock.now() + upstream.cold_s
 
     def cold_s(self, host: str) -> float:
-        """Return for how much longer a host is cold; 0 if it is warm."""
+        """Return the remaining cold period of a host in seconds; 0 if it is warm."""
         return max(0.0, self._cold_until.get(host, NEVER) - self._clock.now())
 
     def merge_report(self, report: Upstream, as_of: float) -> bool:
-        """Take in what a host said itself; returns whether that is news.
+        """Apply a host's own report; returns whether it is newer than the known state.
 
-        An answer shows in any case that the host is there.
+        Any report shows that the host is not lost.
         """
         is_news = self._directory.apply_report(report, as_of)
         if not self.is_listed(report.id):
@@ -136,7 +136,7 @@
         return is_news
 
     def record_left(self, host: str, group: Group) -> None:
-        """Note that a host took our order to leave a group, ahead of its row."""
+        """Record that a host accepted the order to leave a group, before its row shows it."""
         now = self._clock.now()
         self._departures[host] = GroupDeparture((group.name, group.epoch), now)
         known = self._directory.get(host)
@@ -144,39 +144,39 @@
             self._directory.apply_report(replace(known, models=(), membership=None), now)
 
     def has_left_since(self, host: str, key: tuple[str, int] | None, since: float) -> bool:
-        """Whether a host took an order to leave just this group at or after a moment."""
+        """Whether a host accepted an order to leave exactly this group since a time."""
         departure = self._departures.get(host)
         return departure is not None and departure.key == key and departure.left_at >= since
 
     def pace(self, host: str) -> float:
-        """Return how many times longer a host's work takes, as it reported lately."""
+        """Return a host's recently reported pace: the duration of its work, 1.0 if usual."""
         pace, reported_at = self._paces.get(host, (1.0, 0.0))
         return pace if self._clock.now() - reported_at < MAX_PACE_AGE_S else 1.0
 
     def is_slow(self, host: str) -> bool:
-        """Whether a host reported lately that its work takes much longer than usual."""
+        """Whether a host recently reported that its work takes much longer than usual."""
         return self.pace(host) > MAX_NORMAL_PACE
 
     def mark_lost(self, host: str) -> None:
-        """Note that a host gives no answer."""
+        """Record that a host does not respond."""
         self._lost_at[host] = self._clock.now()
 
     def is_lost(self, host: str) -> bool:
-        """Whether a host was found to give no answer, alone or with its hall, or is gone.
+        """Whether a host does not respond, was restarted, or is in a hall that is down.
 
-        A host that has started again is another one, which holds nothing of before.
+        A restart replaces the host by one with another id and no state.
         """
         return (
             host in self._lost_at or self._directory.is_replaced(host) or self.is_in_down_hall(host)
         )
 
     def lost(self) -> list[str]:
-        """Return the upstreams that give no answer, plain ones too."""
+        """Return all lost upstreams, including those without a domain."""
         in_halls = [u for hall in sorted(self.down_halls) for u in self.upstreams_in_hall(hall)]
         return list(dict.fromkeys(self.individually_lost() + in_halls))
 
     def individually_lost(self) -> list[str]:
-        """Return the hosts that were found to give no answer, each by itself."""
+        """Return the hosts that did not respond individually."""
         oldest = self._clock.now() - LOST_RETENTION_S
         self._lost_at = {h: at for h, at in self._lost_at.items() if at > oldest}
         return list(self._lost_at)
@@ -189,19 +189,19 @@
         return {u.id: u for u in whole.upstreams if u.hall == hall} if whole else {}
 
     def is_in_down_hall(self, host: str) -> bool:
-        """Whether a host stands in a hall that is down."""
+        """Whether a host is in a hall that is down."""
         known = self.get(host) if self.down_halls else None
         return known is not None and known.hall in self.down_halls
 
     def mark_hall_down(self, hall: str) -> None:
-        """Note that nothing in a hall answers."""
+        """Record that a hall is down."""
         self.down_halls.add(hall)
 
     def mark_hall_up(self, hall: str, recovered: set[str]) -> None:
-        """Note that something in a hall answers again.
+        """Record that a hall is up again.
 
-        Hosts that have not shown themselves yet, as those ``back`` have, stay lost until they do.
-        What they ran before the loss of power they don't hold any more.
+        All hosts but those in ``recovered`` stay lost until they respond. The models that
+        were loaded before the failure are forgotten, since a power loss clears them.
         """
         self.down_halls.discard(hall)
         for host, upstream in self.upstreams_in_hall(hall).items():
@@ -212,10 +212,10 @@
                 self.mark_lost(host)
 
     def last_model(self, host: str) -> str | None:
-        """Return the model of a host's last group, as far as this coordinator can tell.
+        """Return the model of a host's last group, or ``None`` if unknown.
 
-        A host tells its model only while it serves. A coordinator that is new knows it
-        by the name of the group in which the host stands.
+        A host reports its model only while it serves; for other members a new coordinator
+        derives it from the name of the group.
         """
         known = self._last_model.get(host)
         upstream = self.get(host)
@@ -225,13 +225,13 @@
         return model_of_group(upstream.membership.group) if is_joined else None
 
     def get(self, host: str) -> Upstream | None:
-        """Return a host, listed or remembered."""
+        """Return a host that is or was listed."""
         return self._directory.get(host) or self._ever_listed.get(host)
 
     def delisted_for_s(self, host: str) -> float:
-        """Return for how long a host has been off the list; 0 if it is on it.
+        """Return for how many seconds a host has not been listed; 0 if it is listed.
 
-        One that has started again can't be back any more, as one can that merely lapsed.
+        Infinite for a host that was restarted, since its id never returns.
         """
         if self._directory.is_replaced(host):
             return float("inf")
@@ -239,11 +239,11 @@
         return 0.0 if since is None else self._clock.now() - since
 
     def is_listed(self, host: str) -> bool:
-        """Whether the host is on the list."""
+        """Whether a host is on the list."""
         return self._directory.get(host) is not None
 
     def usable(self, service: str) -> list[Upstream]:
-        """Return the hosts that may be members of groups from now on."""
+        """Return the hosts that may join groups."""
         return [
             u
             for u in self._directory.of_service(service)
@@ -251,7 +251,7 @@
         ]
 
     def listed(self, service: str) -> list[Upstream]:
-        """Return all hosts on the list."""
+        """Return all listed hosts of a service."""
         return self._directory.of_service(service)
 
     def ever_listed(self) -> list[Upstream]:
@@ -259,27 +259,27 @@
         return list(self._ever_listed.values())
 
     def record_model(self, host: str, model: str) -> None:
-        """Note the model of a host's latest group."""
+        """Record the model of a host's latest group."""
         self._last_model[host] = model
 
     def has_lost_member(self, group: Group) -> bool:
-        """Whether a member of a group was found to give no answer."""
+        """Whether any member of a group is lost."""
         return any(self.is_lost(member.id) for member in group.members.values())
 
     # Groups.
 
     def begin_forming(self, domain: str, model: str, is_group: bool) -> int:
-        """Note that a group is being formed; returns its number."""
+        """Record that a group is being formed; returns an id for :meth:`end_forming`."""
         forming_id = next(self._forming_ids)
         self.forming[forming_id] = PendingFormation(domain, model, is_group)
         return forming_id
 
     def end_forming(self, forming_id: int) -> None:
-        """Note that a group was formed, or given up."""
+        """Record that forming a group has succeeded or failed."""
         self.forming.pop(forming_id, None)
 
     def mark_ended(self, group: Group, left_members: set[str] | None) -> None:
-        """Note who has left a group: the members ``left``, or its head (``None``)."""
+        """Record the members that have left a group; ``None`` if the head has left."""
         key = (group.name, group.epoch)
         self._retiring.pop(key, None)
         known = self._ended.get(key)
@@ -289,36 +289,36 @@
         self._ended[key] = EndedGroup(self._clock.now(), left_members, attempts)
 
     def begin_retiring(self, key: tuple[str, int], head: str, yields_hosts: bool = False) -> None:
-        """Let a group finish its work and take nothing new."""
+        """Let a group finish its requests in flight and accept no new ones."""
         self._retiring[key] = RetiringGroup(head, self._clock.now(), yields_hosts)
 
     def yields_hosts(self, key: tuple[str, int]) -> bool:
-        """Whether a group is being ended so that its hosts may serve another model."""
+        """Whether a group is retiring so that its hosts can move to another model."""
         retiring = self._retiring.get(key)
         return retiring is not None and retiring.yields_hosts
 
     def cancel_moves(self) -> None:
-        """Let groups that were to give way serve on, since no more orders can be given."""
+        """Return groups that retire for a move to service, since no orders can be sent."""
         self._retiring = {key: r for key, r in self._retiring.items() if not r.yields_hosts}
 
     def retiring_for_s(self, key: tuple[str, int]) -> float | None:
-        """Return for how long a group has taken nothing new, or ``None``."""
+        """Return for how many seconds a group has been retiring, or ``None``."""
         retiring = self._retiring.get(key)
         return None if retiring is None else self._clock.now() - retiring.retiring_since
 
     def retiring_heads(self) -> list[str]:
-        """Return the heads of the groups that take nothing new."""
+        """Return the heads of the retiring groups."""
         oldest = self._clock.now() - RETIRING_RETENTION_S
         self._retiring = {key: r for key, r in self._retiring.items() if r.retiring_since > oldest}
         return [retiring.head for retiring in self._retiring.values()]
 
     def begin_term(self, is_first_holder: bool) -> None:
-        """Forget what an earlier term as coordinator had under way.
+        """Clear the operations in progress of an earlier term, and start the grace period.
 
         Parameters
         ==========
 
-        is_first_holder : whether nobody has coordinated before.
+        is_first_holder : whether this term is the first one, which needs no grace period.
         """
         self._grace_ends_at = NEVER if is_first_holder else self._clock.now() + RELISTING_GRACE_S
         self.busy.clear()
@@ -326,24 +326,24 @@
         self._missing_since.clear()
 
     def is_in_grace_period(self) -> bool:
-        """Whether hosts that are missing may merely have lapsed before this term.
+        """Whether missing hosts may only have expired from the list before this term.
 
-        A coordinator that has just begun can't know how long the store was away. Hosts
-        that live are back on the list soon after its return.
+        Rows expire while the store is unavailable, and running hosts are listed again soon
+        after it recovers. A new coordinator cannot know how long the outage was.
         """
         return self._clock.now() < self._grace_ends_at
 
     def record_missing_group(self, domain: str, model: str) -> None:
-        """Note that a group that served is ended."""
+        """Record that a serving group is being dissolved."""
         self._missing_since.setdefault((domain, model), []).append(self._clock.now())
 
     def pop_missing_s(self, domain: str, model: str) -> float | None:
-        """Return for how long the group that one just opened stands for was missing."""
+        """Return for how many seconds the group replaced by a new one was missing."""
         since = self._missing_since.get((domain, model))
         return self._clock.now() - since.pop(0) if since else None
 
     def cancel_end(self, key: tuple[str, int]) -> bool:
-        """Forget the end of a group that nobody has left; returns whether that is so."""
+        """Cancel the end of a group if no member has left it; returns whether it did."""
         ended = self._ended[key]
         if ended.left_members is None or ended.left_members:
             return False
@@ -351,36 +351,35 @@
         return True
 
     def has_left(self, host: str, key: tuple[str, int]) -> bool:
-        """Whether a host is free of a group that this coordinator ended.
+        """Whether a host is free of a group that this coordinator dissolved.
 
-        A member that gave no answer was not told to leave; while its head may still
-        serve, it is as bound as before.
+        A member that did not respond has not left, and stays bound until the head has.
         """
         ended = self._ended.get(key)
         return ended is not None and (ended.left_members is None or host in ended.left_members)
 
     def ended_for_s(self, key: tuple[str, int]) -> float | None:
-        """Return how long ago this coordinator ended a group, or ``None``."""
+        """Return how many seconds ago this coordinator dissolved a group, or ``None``."""
         ended = self._ended.get(key)
         return None if ended is None else self._clock.now() - ended.ended_at
 
     def may_retry_end(self, key: tuple[str, int]) -> bool:
-        """Whether the end of a group should have shown by now, so that it may be ordered again.
+        """Whether a group that still appears may be ordered to end again.
 
-        Orders that were taken and change nothing are given ever more rarely.
+        The delay doubles with each attempt.
         """
         ended = self._ended[key]
         doublings = min(ended.attempts - 1, MAX_END_RETRY_DOUBLINGS)
         return self._clock.now() - ended.ended_at >= END_VISIBLE_S * 2**doublings
 
     def head_of(self, key: tuple[str, int]) -> Upstream | None:
-        """Return the head that a group was seen with, listed or not."""
+        """Return the last known head of a group, listed or not."""
         head = self._heads.get(key)
         return None if head is None else self.get(head)
 
 
 def is_serving(group: Group) -> bool:
-    """Whether a group's head says that it takes or finishes requests."""
+    """Whether a group's head reports that it accepts or finishes requests."""
     head = group.head
     if head is None or head.membership is None:
         return False
@@ -388,10 +387,10 @@
 
 
 def is_standby(group: Group) -> bool:
-    """Whether this is a host that stands ready on its own; such a group is never opened."""
+    """Whether this is the group of a standby, which has one member and is never opened."""
     return len(group.members) == 1 and not is_serving(group) and group.head is not None
 
 
 def is_member(host: Upstream, group: Group) -> bool:
-    """Whether a host says that it is a member of a group."""
+    """Whether a host reports that it is a member of a group."""
     return host.place == (group.name, group.epoch)
--- a/mulleinreach/gateway/fleet/loads.py
+++ b/mulleinreach/gateway/fleet/loads.py
@@ -1,4 +1,4 @@
-"""Keeps the loads of weights within what the weight store bears."""
+"""Limits loads of model weights to the capacity of the weight store."""
 
 from __future__ import annotations
 
@@ -9,16 +9,15 @@
 
 RATE_WINDOW_S = 5.0
 USABLE_RATE_SHARE = 0.85
-# The share of the loads that may run at a time up to which those begin that nobody waits for;
-# the rest is kept for groups that callers miss.
+# Share of the concurrent loads open to staging; the rest is reserved for missing groups.
 STAGING_SLOT_SHARE = 0.5
 
 
 class WeightLoadLimiter:
-    """Counts the loads that run and those that began lately.
+    """Limits the number and the rate of weight loads.
 
-    Before the first request of a deployment loads are quick and not limited;
-    ``is_limited`` tells that this time is over, and it doesn't come back.
+    Loads are not limited before the first request of a deployment. Once set, ``is_limited``
+    stays set.
     """
 
     def __init__(self, clock: Clock):
@@ -39,17 +38,17 @@
         return len(self._begun) + 1 <= profile.loads_per_s * RATE_WINDOW_S * USABLE_RATE_SHARE
 
     def may_stage(self, profile: EngineProfile) -> bool:
-        """Whether a load may begin that nobody waits for."""
+        """Whether a load may begin that no request waits for."""
         if not self.is_limited:
             return True
         is_idle = self._running < STAGING_SLOT_SHARE * profile.max_concurrent_loads
         return is_idle and self.may_begin(profile)
 
     def begin(self) -> None:
-        """Count a load that begins."""
+        """Record the start of a load."""
         self._begun.append(self._clock.now())
         self._running += 1
 
     def end(self) -> None:
-        """Count a load that has ended or was given up."""
+        """Record the end of a load, successful or not."""
         self._running -= 1
--- a/mulleinreach/gateway/fleet/moving.py
+++ b/mulleinreach/gateway/fleet/moving.py
@@ -1,11 +1,10 @@
-"""Carries out moves of hosts from one model to another, and keeps count of them.
+"""Moves hosts from one model to another, and tracks the moves in progress.
 
 Explanation
 ===========
 
-A move is seen in the list only when the new groups are being formed, some seconds after it
-was decided. Until then its domain's targets are those of the move, and other domains count
-on it.
+The host list shows a move only some seconds after its start, when the new groups are being
+formed. Until then plans assume that the move has succeeded.
 """
 
 from __future__ import annotations
@@ -28,39 +27,37 @@
 from mulleinreach.gateway.fleet.planner import DomainView, plan_groups
 from mulleinreach.gateway.model import EngineProfile, Service
 
-# A model has to be crowded for so long before hosts move to it: a group that is under repair
-# is back by then.
+# Longer than the repair of a group, which may end the shortage without a move.
 MIN_WANTED_S = 1.5
-# Hosts of a model that others have just moved to stay for so long: bursts last that long, and
-# a domain that moves there and back serves less than one that stays.
+# Prevents moves back and forth during bursts.
 MOVE_COOLDOWN_S = 10.0
-# A retiring group ends within 3.5 s, joins from staged weights take 1 to 2 s, opening 0.3 s.
+# Covers retiring a group, joining with staged weights and opening.
 MOVE_TIMEOUT_S = 8.0
 
 
 @dataclass(frozen=True)
 class _PendingMove:
-    """A move that was begun, and until when it is waited for."""
+    """A move in progress and its deadline."""
 
     move: Move
     expires_at: float
 
     def is_over(self, view: DomainView | None, now: float) -> bool:
-        """Whether the new groups are being formed, or won't be."""
+        """Whether the new groups are being formed, or the deadline has passed."""
         if view is None or now > self.expires_at:
             return True
         return view.groups.get(self.move.to_model, 0) >= self.move.count
 
 
 class HostRebalancer:
-    """Decides how many groups each domain should have, and begins moves where they pay.
+    """Decides how many groups each domain should have, and starts worthwhile moves.
 
     Parameters
     ==========
 
-    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
-    may_begin : whether orders can be given for a while. A move that is cut short by an outage
-        of the store leaves hosts that serve nobody until it is back.
+    tolerates_hall_loss : whether capacity is planned for the loss of a whole hall.
+    may_begin : returns whether the lease stays valid for a while. A move that is interrupted
+        by a store outage leaves its hosts idle until the store recovers.
     """
 
     def __init__(
@@ -84,12 +81,12 @@
     def targets(
         self, service: Service, views: list[DomainView], demand: dict[str, float]
     ) -> dict[str, dict[str, int]]:
-        """Return how many groups of each model each domain should have.
+        """Return the number of groups of each model that each domain should have.
 
         Parameters
         ==========
 
-        demand : what requests of each model hold or wait for; empty while that is unknown.
+        demand : slots that requests of each model hold or wait for; empty while unknown.
         """
         engine = service.engine
         planned = self._with_pending_moves(views)
@@ -113,12 +110,12 @@
     def _workload(
         self, engine: EngineProfile, planned: list[DomainView], demand: dict[str, float]
     ) -> Workload:
-        """Return what the models have to bear, with a hall in reserve where one may be lost."""
+        """Return the workload, with the largest hall as reserve if its loss is planned for."""
         max_hall_groups = max_groups_per_hall(planned) if self._tolerates_hall_loss else {}
         return Workload(engine.slots, demand, self._crowded, max_hall_groups)
 
     def end_term(self) -> None:
-        """Forget moves under way, whose groups serve on."""
+        """Forget the moves in progress; their groups continue to serve."""
         self._pending_moves.clear()
         self._wanted_since.clear()
 
@@ -129,7 +126,7 @@
         engine: EngineProfile,
         workload: Workload,
     ) -> Move | None:
-        """Return a move that can begin at once and has been wanted for long enough."""
+        """Return a move that is ready and has been wanted for at least ``MIN_WANTED_S``."""
         now = self._clock.now()
         cooling_down = {model for model, at in self._moved_at.items() if now - at < MOVE_COOLDOWN_S}
         repaired = [_with_repairs(view, targets[view.name], engine) for view in planned]
@@ -142,7 +139,7 @@
         return move
 
     def _with_pending_moves(self, views: list[DomainView]) -> list[DomainView]:
-        """Return domains as they will be once the moves under way are done."""
+        """Return the domains as they will be after the moves in progress."""
         now = self._clock.now()
         known = {view.name: view for view in views}
         self._pending_moves = {
@@ -182,7 +179,7 @@
 
 
 def _with_repairs(view: DomainView, targets: dict[str, int], engine: EngineProfile) -> DomainView:
-    """Return a domain with the groups that its free hosts are about to form."""
+    """Return a domain including the groups that its free hosts can form at once."""
     groups = Counter(view.groups)
     groups.update(plan.model for plan in plan_groups(view, engine.models, targets))
     return replace(view, groups=dict(groups))
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Sees which hosts are free, and has groups and standbys formed of them."""
+"""Forms groups and standbys from the free hosts of each domain."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 QUICK_JOIN_TIMEOUT_S = 2.5
 LOAD_TIMEOUT_FACTOR = 4.0
 MIN_LOAD_TIMEOUT_S = 30.0
-# Longer than a load of usual weights, so that a host which can't load one costs few orders.
+# Longer than a usual load, so that a host that cannot load a model gets few orders.
 STAGE_RETRY_DELAY_S = 15.0
 NEVER = float("-inf")
 
 
 class Placement:
-    """Turns the plans for each domain into duties on its hosts.
+    """Turns the plan of each domain into tasks on its hosts.
 
     Parameters
     ==========
 
-    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
-    evacuated_halls : returns the halls that operators have asked to empty.
+    tolerates_hall_loss : whether capacity is planned for the loss of a whole hall.
+    evacuated_halls : returns the halls under evacuation, which should serve no requests.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         self._clock = clock
         self._usage: dict[str, ModelUsage] = {}
         self._rebalancers: dict[str, HostRebalancer] = {}
-        # When hosts that were told to load a second model may be told again.
+        # Earliest time of the next order to load a second model, by host.
         self._stage_retry_at: dict[str, float] = {}
 
     def plan(
@@ -75,7 +75,7 @@
         groups: dict[tuple[str, int], Group],
         loads: dict[str, LoadReport],
     ) -> None:
-        """Have groups formed where hosts are ready, and standbys loaded where not."""
+        """Start forming the planned groups, loading standbys and staging second models."""
         usage = self._usage.setdefault(service.name, ModelUsage(self._clock))
         usage.update(service.engine, open_heads(self._placeable_hosts(service.name)), loads)
         views = [
@@ -101,13 +101,13 @@
         self._form_in_evacuated(service, evacuated_views, groups)
 
     def end_term(self) -> None:
-        """Forget what was under way, since no more orders can be given."""
+        """Cancel moves in progress, since no more orders can be sent."""
         for rebalancer in self._rebalancers.values():
             rebalancer.end_term()
         self._hosts.cancel_moves()
 
     def _placeable_hosts(self, service: str) -> list[Upstream]:
-        """Return the usable hosts but for those of halls that are to be empty."""
+        """Return the usable hosts outside of evacuated halls."""
         evacuated_halls = self._evacuated_halls()
         return [host for host in self._hosts.usable(service) if host.hall not in evacuated_halls]
 
@@ -117,9 +117,9 @@
         views: list[DomainView],
         groups: dict[tuple[str, int], Group],
     ) -> None:
-        """Form lost groups of evacuated halls anew, without loads, once no other is being formed.
+        """Form lost groups of evacuated halls again, without loads and after all other groups.
 
-        They are needed when the hall is taken back, and by no request before.
+        They serve no requests until the evacuation ends.
         """
         models = service.engine.models
         for view in views:
@@ -131,7 +131,7 @@
                 self._spawn_form(service.engine, plan)
 
     def _rebalancer(self, service: str) -> HostRebalancer:
-        """Return what moves hosts between the models of a service."""
+        """Return the rebalancer of a service."""
         if service not in self._rebalancers:
             self._rebalancers[service] = HostRebalancer(
                 self._tolerates_hall_loss,
@@ -145,7 +145,7 @@
     def _stage_second_models(
         self, service: Service, groups: dict[tuple[str, int], Group], need: dict[str, float]
     ) -> None:
-        """Have hosts load a second model: all before the first request, then standbys."""
+        """Have hosts load a second model: all hosts before the first request, then free ones."""
         usable = self._placeable_hosts(service.name)
         if self.load_limiter.is_limited:
             hosts = self._free_hosts(usable, groups)
@@ -173,7 +173,7 @@
     def _has_incomplete_groups(
         self, engine: EngineProfile, domain: str, groups: dict[tuple[str, int], Group]
     ) -> bool:
-        """Whether hosts of a domain's groups may be missing from the list for a moment only."""
+        """Whether a domain's groups lack members that may be listed again in the grace period."""
         if not self._hosts.is_in_grace_period():
             return False
         for group in groups.values():
@@ -239,12 +239,12 @@
         if self._hosts.has_left(host.id, host.place):
             return True
         group = groups[host.place]
-        # Members of a group are taken only once its head was told to leave: what is
-        # known of the head may be old, and an order to open it may still be on its way.
+        # Members are free only after the head has left the group: its known state may be
+        # stale, and an order to open may still be in flight.
         return is_standby(group) and membership.state is not MemberState.JOINING
 
     def spares(self, group: Group, model: EngineModel) -> list[FreeHost]:
-        """Return the sound free hosts of a group's domain that hold its model."""
+        """Return the free hosts of a group's domain that hold its model and are not slow."""
         service, domain = group.head.service, group.head.domain
         usable = self._usable_by_domain(service).get(domain, [])
         free = self._free_hosts(usable, collect_groups(self._hosts.listed(service)))
@@ -304,5 +304,5 @@
 
 
 def _load_timeout_s(engine: EngineProfile, model: str) -> float:
-    """Return how long to wait at most until a host has loaded a model."""
+    """Return the timeout for loading a model on a host."""
     return max(MIN_LOAD_TIMEOUT_S, LOAD_TIMEOUT_FACTOR * engine.model(model).load_s)
--- a/mulleinreach/gateway/fleet/planner.py
+++ b/mulleinreach/gateway/fleet/planner.py
@@ -1,13 +1,11 @@
-"""Decides which groups a fabric domain should have, and which hosts form them.
+"""Plans the groups of a fabric domain and the hosts that form them.
 
 Explanation
 ===========
 
-A group stands within one domain. Beside its groups a domain keeps one host for
-each model as a standby, with the model loaded: a group that loses a member is
-formed anew from its survivors and the standby in well under a second, where a
-host without the weights takes many. Everything here is a function of what is
-known of the domain, so that a new coordinator decides as the one before.
+All members of a group are in one domain. Each domain also keeps a standby host per model,
+with the model loaded, so that a lost member can be replaced without loading weights. The
+functions depend only on the state of the domain, so a new coordinator makes the same plans.
 """
 
 from __future__ import annotations
@@ -16,30 +14,27 @@
 
 from mulleinreach.gateway.model import EngineModel
 
-# Hosts a model. Standbys are worth 0.14 and 0.20 of a day's worth on two sites of 48 hosts
-# that lose one in three seconds (ten days each, with and without).
 STANDBYS_PER_MODEL = 1
-# How many hosts may still be missing to a group that is worth waiting for: so few are back
-# soon after a loss, and standbys for more would be missed by the groups that callers have.
+# Standbys are loaded for a missing group only if it lacks at most this many hosts.
 MAX_MISSING_HOSTS = 2
-# Below this share of places in use, models don't differ in what they need. Above the second
-# one, the loss of a group makes requests wait. Planning by usage is worth 0.014 of a day's
-# worth on a site whose groups are lost in turn (ten days), and nothing measurable on another.
+# Fraction of slots in use; models below it have equal need.
 MIN_PLANNED_USAGE = 0.25
+# Fraction of slots in use above which the loss of a group makes requests queue.
 HIGH_USAGE = 0.7
 
 
 @dataclass(frozen=True)
 class FreeHost:
-    """A host that stands in no group that serves or is being formed.
+    """A host and the models that it can run, as input for plans.
 
     Parameters
     ==========
 
-    model : the model of its last group in this life; a join with it is quickest.
-    staged : the models whose weights lie on the host.
+    model : the model of its last group since it started, which it joins most quickly.
+    staged : the models whose weights are on the host.
     is_slow : whether the host reported that its work takes much longer than usual.
-    cold_s : for how much longer it bears few requests a second; 0 if it is warm.
+    cold_s : seconds for which the host stays cold, which means that it recently started with
+        empty caches and its request rate is capped; 0 if it is warm.
     """
 
     id: str
@@ -50,17 +45,17 @@
 
     @property
     def is_cold(self) -> bool:
-        """Whether the host bears only few requests a second for now."""
+        """Whether the host is cold."""
         return self.cold_s > 0
 
     def holds(self, model: str) -> bool:
-        """Whether the host can run a model without a load."""
+        """Whether the host can run a model without loading weights."""
         return self.model == model or model in self.staged
 
 
 @dataclass(frozen=True)
 class ServingGroup:
-    """A group that takes requests, by its name and epoch."""
+    """A group that serves requests; its key is its name and epoch."""
 
     model: str
     key: tuple[str, int]
@@ -69,17 +64,17 @@
 
 @dataclass(frozen=True)
 class DomainView:
-    """What is known of one domain.
+    """The state of one domain.
 
     Parameters
     ==========
 
-    hosts : how many hosts of the domain can be used in all.
-    groups : serving or forming groups of each model.
-    loading : hosts of each model that are being loaded as standbys.
-    usage : the share of places in use, by model, over all domains of the service;
+    hosts : number of usable hosts in the domain.
+    groups : number of groups of each model that serve or are being formed.
+    loading : number of hosts that are being loaded as standbys of each model.
+    usage : fraction of slots in use by model, over all domains of the service;
         empty before the first requests.
-    serving : the groups that serve and are to go on.
+    serving : the serving groups that are not retiring for a move.
     """
 
     name: str
@@ -102,7 +97,7 @@
 
 @dataclass(frozen=True)
 class LoadStandby:
-    """Load a model on a free host; low ``priority`` goes first when loads are scarce."""
+    """Load a model on a free host; plans with a low ``priority`` value go first."""
 
     host: str
     model: str
@@ -116,10 +111,9 @@
     Explanation
     ===========
 
-    The groups that serve or are being formed stay. The hosts that are left make a group
-    of each model that has none, and more as long as standbys remain; each time for the
-    model that needs it most. Where one model's places are nearly all in use and another's
-    are mostly free, a second group of the first goes before the only one of the other.
+    Groups that serve or are being formed are kept. The remaining hosts form groups, each for
+    the model with the greatest need, as long as enough hosts remain for standbys. A second
+    group of a model that is nearly full takes precedence over the first of an idle model.
 
     Examples
     ========
@@ -144,9 +138,9 @@
 
 
 def _reserved_hosts(view: DomainView, targets: dict[str, int], model: EngineModel) -> int:
-    """Return how many hosts a further group of a model has to leave for standbys.
+    """Return how many hosts to reserve for standbys when adding a group of a model.
 
-    Hosts serve better than they wait: none where nearly all places of the model are taken.
+    None are reserved for the first group, nor if the model's usage is high.
     """
     if targets[model.name] == 0 or view.usage.get(model.name, 0.0) > HIGH_USAGE:
         return 0
@@ -154,10 +148,10 @@
 
 
 def _need(view: DomainView, model: EngineModel) -> float:
-    """Return how much a model needs groups, against others.
+    """Return the relative need of a model for groups.
 
-    A place that is lost hurts the more, the fewer of the others are free; hence the
-    square. Before the first requests the configuration's share of the work decides.
+    It is the square of the usage, since the loss of slots costs more when few are free.
+    Before the first requests it is the configured share of the model per host of a group.
     """
     if not view.usage:
         return model.share / model.size
@@ -167,10 +161,10 @@
 def target_standbys(
     view: DomainView, targets: dict[str, int], models: tuple[EngineModel, ...]
 ) -> dict[str, int]:
-    """Return how many standbys of each model remain beside the groups.
+    """Return how many standbys of each model the domain should keep.
 
-    The larger a model's groups, the likelier the next lost host was in one; and the
-    fewer of its places are free, the more its loss hurts.
+    Models with larger groups, which are more likely to lose a host, and with higher usage
+    come first.
 
     Examples
     ========
@@ -184,7 +178,7 @@
     """
     spare_hosts = view.hosts - sum(targets[model.name] * model.size for model in models)
     standbys = {model.name: 0 for model in models}
-    # A standby is of use to groups of its own domain, and to one that lacks a host or two.
+    # Standbys help models that have a group here or lack only a few hosts for one.
     candidates = [
         m for m in models if targets[m.name] or m.size - spare_hosts <= MAX_MISSING_HOSTS
     ] or list(models)
@@ -197,7 +191,7 @@
 def plan_groups(
     view: DomainView, models: tuple[EngineModel, ...], targets: dict[str, int]
 ) -> list[FormGroup]:
-    """Return the groups that can be formed at once from free hosts that hold the model."""
+    """Return the groups that free hosts can form at once without loading weights."""
     free = list(view.free)
     plans = []
     for model in sorted(models, key=lambda m: -_need(view, m) / (view.groups.get(m.name, 0) + 0.5)):
@@ -213,9 +207,9 @@
 
 
 def _choose_members(holders: list[FreeHost], model: EngineModel) -> list[FreeHost]:
-    """Return the hosts that a group is formed of, the first one as its head.
+    """Return the members of a new group, the head first.
 
-    Requests reach the head alone, so a cold host does less harm as another member.
+    The warmest host becomes the head, since only the head receives requests.
     """
 
     def member_order(host: FreeHost) -> tuple:
@@ -228,7 +222,7 @@
 def plan_standbys(
     view: DomainView, models: tuple[EngineModel, ...], targets: dict[str, int]
 ) -> list[LoadStandby]:
-    """Return which free hosts should load or warm up which model."""
+    """Return which free hosts should load which model, for missing groups or as standbys."""
     standbys = target_standbys(view, targets, models)
     wanted = {m.name: targets[m.name] * m.size + standbys[m.name] for m in models}
     held = {
@@ -260,7 +254,7 @@
 
 
 def _is_surplus(host: FreeHost, held: dict[str, int], wanted: dict[str, int]) -> bool:
-    """Whether a host holds a model of which the domain has more hosts than it can use."""
+    """Whether the domain has more hosts of a host's model than it needs."""
     if host.model is None or host.model not in held:
         return False
     return held[host.model] > wanted[host.model]
@@ -272,7 +266,7 @@
     held: dict[str, int],
     group_hosts: dict[str, int],
 ) -> EngineModel:
-    """Return the model to load: hosts of a group first, then what is staged already."""
+    """Return the model to load: for groups before standbys, then staged models first."""
 
     def urgency(model: EngineModel) -> tuple:
         is_for_group = held[model.name] < group_hosts[model.name]
--- a/mulleinreach/gateway/fleet/staging.py
+++ b/mulleinreach/gateway/fleet/staging.py
@@ -1,11 +1,11 @@
-"""Decides which hosts should load a second model beside their work.
+"""Plans which hosts load the weights of a second model in the background.
 
 Explanation
 ===========
 
-A host is quick to join a group of the model that it ran last, and of the one whose weights
-lie on it. After it has joined its first group both are the same model; loading another one
-then takes no time from its work, and makes the host a standby for that one too.
+A host joins quickly with the model that it ran last and with a model whose weights are
+staged on it. After its first group both are the same model. Staging a second one makes the
+host a standby for that model too, without interrupting its work.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class StageModel:
-    """Load a model's weights on a host beside its work."""
+    """Load a model's weights on a host in the background."""
 
     host: str
     model: str
@@ -32,8 +32,8 @@
     Parameters
     ==========
 
-    hosts : hosts that have joined a group, on their own or with others.
-    need : how much each model needs hosts; the neediest one is loaded.
+    hosts : the hosts to consider; those that have not run a model yet are skipped.
+    need : relative need of each model for hosts; the model with the greatest need is staged.
 
     Examples
     ========
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -1,4 +1,4 @@
-"""Over all domains, hosts go to the model whose requests wait."""
+"""Tests for moving hosts to the models whose requests queue."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def _moves(views: list[DomainView], demand: dict[str, float]) -> list[str]:
-    """Return the domains that move one after the other until no move is worth it."""
+    """Return the domains of successive moves, until no move is worthwhile."""
     workload, moved = _work(demand, views), []
     while (move := next_move(views, views, ENGINE, workload)) is not None:
         moved.append(move.domain)
@@ -138,7 +138,7 @@
 def _domains_with_moves(
     rebalancer: HostRebalancer, views: list[DomainView], demand: dict[str, float]
 ) -> set[str]:
-    """Return the domains whose targets differ from what they have."""
+    """Return the domains whose targets differ from their current groups."""
     targets = rebalancer.targets(SERVICE, views, demand)
     return {view.name for view in views if targets[view.name] != view.groups}
 
--- a/mulleinreach/gateway/fleet/tests/test_draining.py
+++ b/mulleinreach/gateway/fleet/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Groups with a member that announced its end."""
+"""Tests for groups with a draining member."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
-# Events of a stream come every 0.04 s.
+# A stream sends an event every 0.04 s.
 EVENTS_IN_TWO_SECONDS = 50
 
 
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Groups are formed, repaired and taken over, and never wrongly."""
+"""Tests for forming and repairing groups, and for coordinator changes meanwhile."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 def member_of(world: GatewayWorld, model: str, rank: int):
-    """Return a host that stands at a rank of an open group."""
+    """Return the member of an open group with the given rank."""
     head = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, model)[0]
     standing = world.fabric.hosts[head.upstream.id].standing
     return world.fabric.hosts[standing.members[rank]]
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -1,4 +1,4 @@
-"""A hall that fails as a whole is found at once, and used again once it is back."""
+"""Tests for detecting the failure and the recovery of whole halls."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 HALLS = {"halls": 3, "nodes": 6, "domains": 6}
 MAX_DETECTION_S = 1.0
-# The lease of a coordinator that has failed is free after three and a half seconds.
+# Includes the time until the lease of the failed coordinator expires.
 MAX_DETECTION_AFTER_TAKEOVER_S = 5.0
 COLD_S = 6.0
 
 
 class _Callers:
-    """Callers of all nodes, who ask for streams for ever and go away with their node."""
+    """Clients of all nodes that request streams until stopped or their node fails."""
 
     def __init__(self, world: GatewayWorld):
         self._world = world
@@ -56,7 +56,7 @@
             await asyncio.sleep(0.05)
 
     async def _stream(self, model: str, node: str) -> None:
-        # A caller of a node that fails gets no answer.
+        # Clients of a failed node get no response.
         with contextlib.suppress(KeyError, aiohttp.ClientError):
             self.answers.append(await self._world.stream(20, model=model, node=node))
 
@@ -66,7 +66,7 @@
 
 
 async def _serve(world: GatewayWorld) -> _Callers:
-    """Have all groups formed, and requests run at them for a while."""
+    """Wait until all groups are formed, and send requests for a while."""
     await world.until_formed()
     await asyncio.sleep(4)
     callers = _Callers(world)
@@ -83,7 +83,7 @@
 
 
 def _is_reported_lost(world: GatewayWorld, hall: str) -> bool:
-    """Whether all living nodes pass over all upstreams of a hall."""
+    """Whether all running nodes treat all upstreams of a hall as lost."""
     lost = {upstream.id for upstream in world.upstreams_in(hall)}
     return all(lost <= node.eligibility.lost for node in world.nodes.values())
 
@@ -163,7 +163,7 @@
 
 
 async def _down_halls_within(world: GatewayWorld, seconds: float) -> set[str]:
-    """Return the halls that any node finds to be down within some seconds."""
+    """Return the halls that any node marks as down within some seconds."""
     found: set[str] = set()
     until = world.clock.now() + seconds
     while world.clock.now() < until:
@@ -191,7 +191,7 @@
             retiring = [node.hosts.retiring_heads() for node in world.nodes.values()]
             assert not any(retiring)
             await asyncio.sleep(0.05)
-        # One of each model in both domains.
+        # One group of each model in each of the two domains.
         assert _open_groups_in(world, hall) >= 4
         assert most_loads <= PROFILE.max_concurrent_loads
         callers.stop()
@@ -242,7 +242,7 @@
 
 
 def _serves(world: GatewayWorld, domain: str, model: str) -> bool:
-    """Whether a domain has an open group of a model all of whose members live."""
+    """Whether a domain has an open group of a model with all members running."""
     return any(
         host.standing.model == model and world.fabric.is_whole(host.standing)
         for host in world.fabric.hosts.values()
@@ -253,7 +253,7 @@
 
 
 async def _restart(world: GatewayWorld, host: HostStandIn, is_replaced: bool) -> None:
-    """Start a host again after a loss of power, under the same id or under a new one."""
+    """Restart a host after a power loss, with the same id or with a new one."""
     if is_replaced:
         world.store.put(UPSTREAMS, host.id, None)
         upstream = host.upstream
@@ -263,7 +263,7 @@
 
 
 def _is_loading(host: HostStandIn) -> bool:
-    """Whether a host loads weights that it doesn't have."""
+    """Whether a host loads weights that are not staged on it."""
     standing = host.standing
     if host.is_dark or standing is None or standing.state is not MemberState.JOINING:
         return False
@@ -288,7 +288,7 @@
     run_virtual(test())
 
 
-# The signs, one by one.
+# Health of a hall, one observation at a time.
 
 STILL = LoadReport("", 2, 0, 2.0, 2.0)
 MOVING = LoadReport("", 2, 0, 0.05, 2.0)
@@ -298,7 +298,7 @@
 def _detected_halls(
     loads: list[LoadReport], nodes_silent_s: list[float], third=MOVING
 ) -> list[str]:
-    """Return the halls that are found to be down by the loads of heads and the nodes of ``a``."""
+    """Return the failed halls, given the loads of the heads and the silence of nodes in ``a``."""
     heads = [
         Head(make_upstream(f"a{n}", MODEL_SERVICE, n, "d", "a"), f"g{n}", 1, LARGE)
         for n in range(4)
--- a/mulleinreach/gateway/fleet/tests/test_planner.py
+++ b/mulleinreach/gateway/fleet/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""What a domain's hosts do follows from how much of each model's places is in use."""
+"""Tests for planning the groups and standbys of a domain by slot usage."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     loads = plan_standbys(view, MODELS, target_groups(view, MODELS))
     assert [plan.model for plan in loads] == [SMALL] * 3
     calm = _view(5, {SMALL: 1}, MODERATE_USAGE, *survivors)
-    # One of them stands by for the group that serves; the others wait for a fourth host.
+    # One becomes the standby of the serving group; the others wait for a fourth host.
     plans = plan_standbys(calm, MODELS, target_groups(calm, MODELS))
     assert [plan.model for plan in plans] == [SMALL]
 
--- a/mulleinreach/gateway/fleet/tests/test_staging.py
+++ b/mulleinreach/gateway/fleet/tests/test_staging.py
@@ -1,4 +1,4 @@
-"""Hosts hold the weights of a second model, and take either model's place quickly."""
+"""Tests for staging a second model on hosts, which lets them replace hosts of either model."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
 
 SLOW_LOAD = HostTimes(load_s=12.0, warm_s=0.5)
-# Noticed, told to leave, joined from staged weights, opened.
+# Covers detection, leaving, joining with staged weights and opening.
 MAX_REPAIR_S = 2.5
 
 
 def holds_both(host) -> bool:
-    """Whether a host ran one model last and has the other one's weights."""
+    """Whether a host ran one model last and has the weights of the other one."""
     return {host.last_model, *host.upstream.staged} == {LARGE, SMALL}
 
 
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -1,4 +1,4 @@
-"""What is believed of groups never repeats requests or orders that change nothing."""
+"""Tests that stale state of groups does not cause endless requests or orders."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
             return Accepted()
 
         world.fabric.leave = leave
-        # The list is read as often as while a group is formed, so that the row which
-        # contradicts the accepted order is heard before the host is used elsewhere.
+        # Polls the list at the high rate used while groups are formed, so that the stale row
+        # is received before the host is used elsewhere.
         coordinator.operator._quick_waits = 1
         stale = host.describe()
         host.report = lambda: stale
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -1,4 +1,4 @@
-"""Hosts that start again under the name that they had, and hold nothing of before."""
+"""Tests for hosts that restart under the same name and lose their state."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 from mulleinreach.gateway.upstream import incarnation_id, upstream_name
 from mulleinreach.standins.gateway.world import LARGE, SMALL
 
-# A group of four whose host starts again is whole once more after the order to join, the load of
-# its weights from the host's disk and the opening: 0.5 s, 0.3 s and some rounds.
+# Covers joining, loading weights from the host's disk and opening.
 MAX_REPAIR_S = 2.5
 
 
 def member_of_open_group(world, rank: int):
-    """Return a host of an open wide group by its rank."""
+    """Return the member of an open group of the large model with the given rank."""
     for host in world.fabric.hosts.values():
         standing = host.standing
         if standing is not None and standing.model == LARGE and standing.members[rank] == host.id:
@@ -27,7 +26,7 @@
 
 
 def is_member(host, group: str) -> bool:
-    """Whether a host stands in a group."""
+    """Whether a host is a member of a group."""
     return host.standing is not None and host.standing.group == group
 
 
@@ -60,7 +59,7 @@
 
 
 def test_streams_resume_at_once_when_a_head_restarts_without_a_reset():
-    """Its connections give no reset, so only the list tells that they lead nowhere."""
+    """Without connection resets, only the list shows that the head was replaced."""
 
     async def test(world):
         await world.until_formed()
@@ -73,7 +72,7 @@
             world.crashes.begin(head, 0.05, keeps_name=True, is_silent=True)
         answers = await asyncio.gather(*streams)
         assert [len(answer.event_ids) for answer in answers] == [60] * len(answers)
-        # Sixty events take 2.4 s; the silence alone would show after 1.5 s.
+        # Sixty events take 2.4 s; the stall timeout alone would add 1.5 s.
         assert world.clock.now() - began_at < 2.4 + 1.0
         for node in world.nodes.values():
             assert all(node.loads.running(head) == 0 for head in runs)
--- a/mulleinreach/gateway/fleet/usage.py
+++ b/mulleinreach/gateway/fleet/usage.py
@@ -1,4 +1,4 @@
-"""How many places the requests of each model need, smoothed over some seconds."""
+"""Slot usage and slot demand of each model, smoothed over some seconds."""
 
 from __future__ import annotations
 
@@ -9,24 +9,17 @@
 from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.model import EngineProfile
 
-# Plans should follow what lasts: a load takes over ten seconds, a wave of requests less.
+# Time constant of the exponential average; short bursts should not change plans.
 MAX_SMOOTHING_S = 3.0
-# Workload is unknown until streams have begun and ended for a while; what was seen by then counts
-# as if it had lasted for half of the time.
+# The demand counts as unknown until then.
 MIN_OBSERVED_S = 2.0
 MIN_SMOOTHING_S = 0.3
-# What a model counts that has no open group: more than one whose places are all taken.
+# Usage of a model without an open group; higher than with all slots in use.
 NO_GROUP_USAGE = 2.0
 
 
 class ModelUsage:
-    """The work of the models at the heads of all domains of one service.
-
-    Parameters
-    ==========
-
-    clock : tells how much weight the latest look has.
-    """
+    """Exponentially weighted averages of the slot usage and demand of a service's models."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
@@ -38,7 +31,7 @@
     def update(
         self, engine: EngineProfile, heads: list[Head], loads: dict[str, LoadReport]
     ) -> None:
-        """Take in what runs at the open heads now; nothing before the first requests."""
+        """Update the averages from the load at the open heads; does nothing without load."""
         if not loads:
             return
         now = self._clock.now()
@@ -48,7 +41,7 @@
         self._updated_at = now
         for model in engine.models:
             ids = [head.upstream.id for head in heads if head.model == model.name]
-            # Without an open head the work that there was goes on elsewhere, or waits.
+            # Without an open head the demand is unknown, so its last average is kept.
             demand = sum(loads[u].running for u in ids if u in loads) if ids else None
             usage = NO_GROUP_USAGE if demand is None else demand / (engine.slots * len(ids))
             _update_average(self._usage, model.name, usage, weight)
@@ -59,17 +52,17 @@
         return min(max(MIN_SMOOTHING_S, (now - self._started_at) / 2), MAX_SMOOTHING_S)
 
     def has_enough_history(self) -> bool:
-        """Whether requests have run for long enough to tell the work by."""
+        """Whether requests have been observed for long enough to estimate the demand."""
         return (
             self._started_at is not None and self._updated_at - self._started_at >= MIN_OBSERVED_S
         )
 
     def by_model(self) -> dict[str, float]:
-        """Return the share of places in use by model; empty before the first requests."""
+        """Return the fraction of slots in use by model; empty before the first requests."""
         return dict(self._usage)
 
     def demand(self) -> dict[str, float]:
-        """Return the places that each model's requests hold or wait for, once that is settled."""
+        """Return the slots that each model's requests hold or wait for; empty while unknown."""
         return dict(self._demand) if self.has_enough_history() else {}
 
 
--- a/mulleinreach/gateway/fleet/watch.py
+++ b/mulleinreach/gateway/fleet/watch.py
@@ -1,4 +1,4 @@
-"""Watches groups: notices lost, slow and leaving members, and ends what is broken."""
+"""Monitors groups: detects lost, slow and draining members, and dissolves broken groups."""
 
 from __future__ import annotations
 
@@ -27,23 +27,20 @@
 SLOW_PROBE_TIMEOUT_S = 0.5
 LOST_CHECK_INTERVAL_S = 1.0
 MAX_UNFINISHED_S = 4.0
-# A host that drains stays for three seconds, and longer while its group has work.
-# Requests that were sent before all nodes knew are on their way for some time.
-# Letting groups finish is worth 0.005 of a day's worth where upstreams are released in turn
-# (nine days), and nothing measurable elsewhere; it cuts no stream of a planned leave.
 MAX_RETIRING_S = 3.5
+# Requests may still arrive until all nodes know that the group is retiring.
 MIN_RETIRING_S = 0.5
-# The list drops hosts at times while the store is down; a heartbeat brings them back.
+# A store outage may remove a host from the list until its next heartbeat.
 MAX_HEAD_ABSENCE_S = 1.5
 
 
 class GroupMonitor:
-    """Looks at one group after the other.
+    """Checks the state of each group and acts on it.
 
     Parameters
     ==========
 
-    loads : returns the load of all nodes together, for the first sign of trouble.
+    loads : returns the load of each upstream, summed over all nodes.
     """
 
     def __init__(
@@ -69,7 +66,7 @@
         self._unfinished_since: dict[tuple[str, int], float] = {}
 
     def pace(self, key: tuple[str, int]) -> float:
-        """Return the pace of a group, as its members last reported it."""
+        """Return the pace of a group's slowest member, as of the latest probes."""
         return self._paces.get(key, 1.0)
 
     def check_group(
@@ -79,7 +76,7 @@
         group: Group,
         loads: dict[str, LoadReport],
     ) -> None:
-        """Decide whether a group goes on, is opened, asked or ended."""
+        """Keep, open, probe, retire or dissolve a group."""
         if self._is_in_down_hall(group) or self._is_busy(group) or self._has_ended(key, group):
             return
         model = engine.model(group.model) if group.model else None
@@ -113,7 +110,7 @@
         elif self._is_ready(group, model):
             self._host_tasks.spawn(self._operator.open(group), group.members.values())
         elif self._is_stuck(key, group, model):
-            self._spawn_dissolve(group, model, "it was left unfinished")
+            self._spawn_dissolve(group, model, "forming did not complete")
 
     def _end_when_idle(
         self,
@@ -122,14 +119,14 @@
         model: EngineModel,
         load: LoadReport | None,
     ) -> None:
-        """End a group that takes nothing new once its work is done, or takes too long."""
+        """Dissolve a retiring group when it is idle or its time is up."""
         retiring_s = self._hosts.retiring_for_s(key)
         is_idle = load is None or load.running == 0
         if retiring_s > MAX_RETIRING_S or (is_idle and retiring_s > MIN_RETIRING_S):
             self._spawn_dissolve(group, model, "it has retired")
 
     def _is_stuck(self, key: tuple[str, int], group: Group, model: EngineModel) -> bool:
-        """Whether a group that an earlier coordinator began will not be ready any more."""
+        """Whether a group that an earlier coordinator began to form will not get ready."""
         since = self._unfinished_since.setdefault(key, self._clock.now())
         if self._hosts.has_lost_member(group):
             return True
@@ -138,9 +135,9 @@
         return self._clock.now() - since > MAX_UNFINISHED_S
 
     def _check_headless(self, key: tuple[str, int], group: Group, model: EngineModel) -> None:
-        """End a group whose head is off the list: no node may send anything there.
+        """Dissolve a group whose head has not been listed for too long.
 
-        The head may run on all the same, and it may be back with its next heartbeat.
+        The head may still run and be listed again with its next heartbeat.
         """
         head = self._hosts.head_of(key)
         if head is not None and not is_member(head, group):
@@ -152,7 +149,7 @@
             self._spawn_dissolve(group, model, "the head is off the list")
 
     def _has_ended(self, key: tuple[str, int], group: Group) -> bool:
-        """Whether a group was ended already, and nobody is back who was not told so."""
+        """Whether a group was dissolved already and needs no further order for now."""
         if self._hosts.ended_for_s(key) is None:
             return False
         is_open = is_serving(group) and not self._hosts.is_lost(group.head.id)
@@ -183,20 +180,20 @@
     def _slow_members(
         self, key: tuple[str, int], group: Group, model: EngineModel
     ) -> list[Upstream]:
-        """Return the slow members of a group; one that was slow is asked again."""
+        """Return the slow members of a group, and probe a slow group again."""
         if self.pace(key) <= MAX_NORMAL_PACE:
             return []
         self._start_check(key, group, model, "slow")
         return [m for m in group.members.values() if self._hosts.is_slow(m.id)]
 
     def _can_replace(self, group: Group, model: EngineModel, leaving: list[Upstream]) -> bool:
-        """Whether there are members to replace, and sound hosts ready to take their places."""
+        """Whether there are members to replace and enough spare hosts for them."""
         if not leaving:
             return False
         return len(self._placement.spares(group, model)) >= len(leaving)
 
     async def _probe_spares(self, group: Group, model: EngineModel) -> None:
-        """Ask the hosts that could replace slow members whether they are slow too."""
+        """Probe the hosts that could replace slow members, to learn whether they are slow."""
         if group.head is None:
             return
         spares = [self._hosts.get(host.id) for host in self._placement.spares(group, model)]
@@ -205,7 +202,7 @@
     def _start_check(
         self, key: tuple[str, int], group: Group, model: EngineModel, why: str
     ) -> None:
-        """Ask a group's members for their state, at most once in a while."""
+        """Probe a group's members, at most once per ``MEMBER_CHECK_INTERVAL_S``."""
         now = self._clock.now()
         if now - self._checked_at.get(key, float("-inf")) < MEMBER_CHECK_INTERVAL_S:
             return
@@ -216,7 +213,7 @@
         members = self._members_ever_known(group)
         reports = await asyncio.gather(*(self._operator.probe(m) for m in members))
         if all(isinstance(report, Unavailable) for report in reports):
-            # Rather this node is slow than all members lost at once; asked once more.
+            # More likely this node is slow than all members are lost; retry with more time.
             reports = await asyncio.gather(
                 *(self._operator.probe(m, SLOW_PROBE_TIMEOUT_S) for m in members)
             )
@@ -247,14 +244,14 @@
         self._host_tasks.wake.set()
 
     def _makes_progress(self, group: Group) -> bool:
-        """Whether requests at a group's head go on, which shows that it is whole."""
+        """Whether requests at a group's head progress, which shows that it is whole."""
         for load in self._loads():
             if group.head is not None and load.upstream_id == group.head.id:
                 return load.running > 0 and load.silent_s < SUSPECT_STALL_S
         return False
 
     def _members_ever_known(self, group: Group) -> list[Upstream]:
-        """Return a group's members, those too that are on the list no more."""
+        """Return a group's members, including those that left the list."""
         members = {m.id: m for m in group.members.values()}
         for host in self._hosts.ever_listed():
             if host.id not in members and is_member(host, group):
@@ -273,7 +270,7 @@
         self._hosts.mark_ended(group, await self._operator.dissolve(group))
 
     def recheck_lost(self) -> None:
-        """Ask lost hosts that are still listed whether they are back."""
+        """Probe lost hosts that are still listed."""
         now = self._clock.now()
         for host in self._hosts.individually_lost():
             known = self._hosts.get(host)
