--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -22,21 +22,21 @@
 
     def spawn(self, task: Coroutine, hosts: Iterable[Upstream]) -> None:
         """Run a task with exclusive use of these hosts."""
-        taken = {host.id for host in hosts}
-        self._hosts.busy |= taken
-        self._tasks.spawn(self._guarded(task, taken))
+        host_ids = {host.id for host in hosts}
+        self._hosts.busy |= host_ids
+        self._tasks.spawn(self._run(task, host_ids))
 
     def spawn_probe(self, probe: Coroutine) -> None:
         """Run a read-only probe, which does not mark hosts busy."""
         self._tasks.spawn(probe)
 
-    async def _guarded(self, task: Coroutine, taken: set[str]) -> None:
+    async def _run(self, task: Coroutine, host_ids: set[str]) -> None:
         try:
             await task
         except LeaseLost:
             self._log.event("order_withheld", why="the lease has ended")
         finally:
-            self._hosts.busy -= taken
+            self._hosts.busy -= host_ids
             self.wake.set()
 
     async def close(self) -> None:
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -159,8 +159,8 @@
 
         The last reports of silent nodes are left out, since they show outdated progress.
         """
-        heard = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
-        loads = {load.upstream_id: load for load in sum_loads(heard)}
+        reports = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
+        loads = {load.upstream_id: load for load in sum_loads(reports)}
         lost = {h.upstream.id for h in heads if self._hosts.is_lost(h.upstream.id)}
         return [
             assess_hall(hall, [h for h in heads if h.upstream.hall == hall], loads, lost, nodes)
--- a/mulleinreach/gateway/fleet/planner.py
+++ b/mulleinreach/gateway/fleet/planner.py
@@ -238,10 +238,10 @@
     for host in idle + surplus:
         if host.model is not None and not _is_surplus(host, held, wanted):
             continue
-        short_models = [m for m in models if held[m.name] < wanted[m.name]]
-        if not short_models:
+        models_to_load = [m for m in models if held[m.name] < wanted[m.name]]
+        if not models_to_load:
             break
-        model = _most_urgent(short_models, host, held, group_hosts)
+        model = _most_urgent(models_to_load, host, held, group_hosts)
         is_standby = held[model.name] >= group_hosts[model.name]
         priority = held[model.name] + (1000 if is_standby else 0)
         plans.append(
@@ -261,7 +261,7 @@
 
 
 def _most_urgent(
-    short_models: list[EngineModel],
+    models_to_load: list[EngineModel],
     host: FreeHost,
     held: dict[str, int],
     group_hosts: dict[str, int],
@@ -272,4 +272,4 @@
         is_for_group = held[model.name] < group_hosts[model.name]
         return (not is_for_group, model.name not in host.staged, held[model.name] / model.size)
 
-    return min(short_models, key=urgency)
+    return min(models_to_load, key=urgency)
--- a/mulleinreach/gateway/fleet/usage.py
+++ b/mulleinreach/gateway/fleet/usage.py
@@ -66,6 +66,6 @@
         return dict(self._demand) if self.has_enough_history() else {}
 
 
-def _update_average(known: dict[str, float], model: str, latest: float, weight: float) -> None:
-    before = known.get(model, latest)
-    known[model] = before + weight * (latest - before)
+def _update_average(averages: dict[str, float], model: str, latest: float, weight: float) -> None:
+    before = averages.get(model, latest)
+    averages[model] = before + weight * (latest - before)
