--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -6,7 +6,7 @@
 from contextlib import AbstractContextManager
 
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
-from mulleinreach.gateway.known.limits import LimitBook
+from mulleinreach.gateway.known.limits import LimitTracker
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
@@ -32,7 +32,7 @@
         """Return a node that knows the upstream and no limit of it."""
         directory = UpstreamDirectory()
         directory.replace_all(1, [UPSTREAM], self.clock.now())
-        book = LimitBook(directory, self.clock, NullLog())
+        book = LimitTracker(directory, self.clock, NullLog())
         return SendPermits(book, self.clock, random.Random(seed))
 
     def report_limit(self, number: int, limit: float) -> None:
@@ -47,10 +47,10 @@
     def send_if_permitted(self, number: int) -> bool:
         """Let a node send a request if it may, else elsewhere; returns whether it did."""
         node = self.nodes[number]
-        node.demand.note_asked(UPSTREAM.id)
+        node.demand.note_request(UPSTREAM.id)
         if self._send_if_allowed(node):
             return True
-        node.demand.note_withheld(UPSTREAM.id)
+        node.demand.note_diverted(UPSTREAM.id)
         return False
 
     def _send_if_allowed(self, node: SendPermits) -> bool:
@@ -63,7 +63,7 @@
     def send_or_wait(self, number: int) -> None:
         """Let a node send a request now, or after the coordinator's next answer, if it may."""
         node = self.nodes[number]
-        node.demand.note_asked(UPSTREAM.id)
+        node.demand.note_request(UPSTREAM.id)
         if self._send_if_allowed(node):
             return
         waiting_scope = node.demand.waiting(UPSTREAM.id)
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.gateway.coordination.permit_allocation import BURST_PERMITS, PermitAllocator
 from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, LimitHarness
-from mulleinreach.gateway.known.limits import NamedLimit, permit_s
+from mulleinreach.gateway.known.limits import NamedLimit, permit_lifetime_s
 from mulleinreach.gateway.known.permits import PermitCount
 from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
 
@@ -150,7 +150,9 @@
 
 def test_answer_dates_permits_from_the_report_that_it_answers():
     harness = LimitHarness(2, 5.0)
-    harness.nodes[0].take([PermitCount(UPSTREAM.id, 2)], harness.clock.now() - permit_s(5.0), 2)
+    harness.nodes[0].take(
+        [PermitCount(UPSTREAM.id, 2)], harness.clock.now() - permit_lifetime_s(5.0), 2
+    )
     assert not harness.nodes[0].may_send(UPSTREAM.id)
 
 
@@ -167,7 +169,7 @@
 def test_reported_limit_applies_to_node_without_own_response():
     harness = LimitHarness(1, 5.0)
     other = harness.make_node(1)
-    other.limits.take_told([NamedLimit(UPSTREAM.id, 5.0)], harness.clock.now())
+    other.limits.merge_published([NamedLimit(UPSTREAM.id, 5.0)], harness.clock.now())
     assert not other.may_send(UPSTREAM.id)
 
 
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -26,7 +26,7 @@
             ids = [known.upstream.id for known in node.chooser.heads(MODEL_SERVICE, LARGE)]
             assert (head.upstream.id in ids) == (refusals < 2)
         opened_anew = replace(head, epoch=head.epoch + 1)
-        node.chooser.take_told([opened_anew], frozenset())
+        node.chooser.set_coordinator_heads([opened_anew], frozenset())
         assert opened_anew in node.chooser.heads(MODEL_SERVICE, LARGE)
 
     run_world(test)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -24,7 +24,7 @@
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 from mulleinreach.gateway.known.permits import PermitCount, SendPermits
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
@@ -52,7 +52,7 @@
         in_force: ConfigurationInForce,
         follower: UpstreamFollower,
         directory: UpstreamDirectory,
-        loads: LoadBook,
+        loads: LoadTracker,
         chooser: UpstreamChooser,
         eligibility: Eligibility,
         cold_limit: ColdRateLimit,
@@ -137,11 +137,11 @@
 
     def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
-        return self._permits.limits.untold(includes_told)
+        return self._permits.limits.unpublished(includes_told)
 
     def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Take what another node knows of the limits of upstreams."""
-        self._permits.limits.take_reported(named)
+        self._permits.limits.merge_reported(named)
 
     def limits(self) -> dict[str, float]:
         """Return the limits of upstreams that are in force, in requests a second."""
@@ -195,7 +195,7 @@
         own_loads : what that report told of this node's own requests.
         """
         totals = report.totals
-        self._loads.take_totals(totals.loads, own_loads)
+        self._loads.update_totals(totals.loads, own_loads)
         self._in_force.take_passed(
             totals.configuration_version,
             asked_at - totals.configuration_age_s,
@@ -212,7 +212,7 @@
             self._follower.take_passed(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
             )
-        self._cold_limit.take_number(report.number, totals.numbers, asked_at)
+        self._cold_limit.set_number(report.number, totals.numbers, asked_at)
         if totals.limits is not None:
             self._permits.limits.take_told(totals.limits, asked_at)
         self._permits.take(report.permits, asked_at, totals.nodes)
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -191,7 +191,7 @@
             return False
         self._state.record_answer()
         self._revision = result.revision
-        self.evacuations.take_rows(
+        self.evacuations.apply_rows(
             result.evacuations, result.is_whole, result.revision, self.evidence_at
         )
         if result.configuration is not None:
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -29,8 +29,8 @@
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.limits import LimitBook
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.limits import LimitTracker
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.known.notices import NoticeTracker
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.routing import Router
@@ -104,10 +104,10 @@
 
     def _make_state(self) -> None:
         self.directory = UpstreamDirectory(self._on_lost)
-        self.loads = LoadBook(self.clock)
+        self.loads = LoadTracker(self.clock)
         self.suspects = SuspectList(self.clock)
         self.active = ActiveExchanges()
-        self.limits = LimitBook(self.directory, self.clock, self.log)
+        self.limits = LimitTracker(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
         self.notices = NoticeTracker(
             self.directory, self.clock, self.log, self._on_upstreams_changed
