--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True)
 class Shortage:
-    """No domain can hold the replica; ``short`` is how many hosts the best one lacks."""
+    """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
 
-    short: int
+    needed: int
     weighed: tuple[DomainChoice, ...]
 
 
@@ -113,8 +113,8 @@
     sizes = [s.hosts_per_replica for s in view.config.intent.services if s.kind == "model"]
     fragments = unusable_hosts(len(free) - size, sizes) - unusable_hosts(len(free), sizes)
     wanted = fair_spares(view)
-    short = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
-    cost = spread / max(1, service.replicas) + fragments + SPARE_WEIGHT * short / size
+    needed = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
+    cost = spread / max(1, service.replicas) + fragments + SPARE_WEIGHT * needed / size
     return DomainChoice(domain, len(free), cost, pick_hosts(free, size))
 
 
