--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -1,4 +1,4 @@
-"""Runs duties on hosts, and marks the hosts busy meanwhile."""
+"""Runs background tasks on hosts, and marks the hosts busy meanwhile."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class HostTasks:
-    """The duties under way; ``wake`` is set when one has ended or the list has changed."""
+    """The running tasks; ``wake`` is set when one has ended or the host list has changed."""
 
     def __init__(self, hosts: HostRegistry, log: EventLog):
         self._hosts = hosts
@@ -20,19 +20,19 @@
         self._tasks = TaskGroup()
         self.wake = asyncio.Event()
 
-    def spawn(self, duty: Coroutine, hosts: Iterable[Upstream]) -> None:
-        """Run a duty that no other one may disturb on these hosts."""
+    def spawn(self, task: Coroutine, hosts: Iterable[Upstream]) -> None:
+        """Run a task with exclusive use of these hosts."""
         host_ids = {host.id for host in hosts}
         self._hosts.busy |= host_ids
-        self._tasks.spawn(self._run(duty, host_ids))
+        self._tasks.spawn(self._run(task, host_ids))
 
-    def spawn_probe(self, question: Coroutine) -> None:
-        """Ask hosts something, which disturbs no duty."""
-        self._tasks.spawn(question)
+    def spawn_probe(self, probe: Coroutine) -> None:
+        """Run a read-only probe, which does not mark hosts busy."""
+        self._tasks.spawn(probe)
 
-    async def _run(self, duty: Coroutine, host_ids: set[str]) -> None:
+    async def _run(self, task: Coroutine, host_ids: set[str]) -> None:
         try:
-            await duty
+            await task
         except LeaseLost:
             self._log.event("order_withheld", why="the lease has ended")
         finally:
@@ -40,5 +40,5 @@
             self.wake.set()
 
     async def close(self) -> None:
-        """End everything."""
+        """Cancel all tasks."""
         await self._tasks.close()
--- a/mulleinreach/gateway/fleet/moving.py
+++ b/mulleinreach/gateway/fleet/moving.py
@@ -1,11 +1,10 @@
-"""Carries out moves of hosts from one model to another, and keeps count of them.
+"""Moves hosts from one model to another, and tracks the moves in progress.
 
 Explanation
 ===========
 
-A move is seen in the list only when the new groups are being formed, some seconds after it
-was decided. Until then its domain's targets are those of the move, and other domains count
-on it.
+The host list shows a move only some seconds after its start, when the new groups are being
+formed. Until then plans assume that the move has succeeded.
 """
 
 from __future__ import annotations
@@ -28,39 +27,37 @@
 from mulleinreach.gateway.fleet.planner import DomainView, plan_groups
 from mulleinreach.gateway.model import EngineProfile, Service
 
-# A model has to be crowded for so long before hosts move to it: a group that is under repair
-# is back by then.
+# Longer than the repair of a group, which may end the shortage without a move.
 MIN_WANTED_S = 1.5
-# Hosts of a model that others have just moved to stay for so long: bursts last that long, and
-# a domain that moves there and back serves less than one that stays.
+# Prevents moves back and forth during bursts.
 MOVE_COOLDOWN_S = 10.0
-# A retiring group ends within 3.5 s, joins from staged weights take 1 to 2 s, opening 0.3 s.
+# Covers retiring a group, joining with staged weights and opening.
 MOVE_TIMEOUT_S = 8.0
 
 
 @dataclass(frozen=True)
 class _PendingMove:
-    """A move that was begun, and until when it is waited for."""
+    """A move in progress and its deadline."""
 
     move: Move
-    until: float
+    expires_at: float
 
     def is_over(self, view: DomainView | None, now: float) -> bool:
-        """Whether the new groups are being formed, or won't be."""
-        if view is None or now > self.until:
+        """Whether the new groups are being formed, or the deadline has passed."""
+        if view is None or now > self.expires_at:
             return True
         return view.groups.get(self.move.to_model, 0) >= self.move.count
 
 
 class HostRebalancer:
-    """Decides how many groups each domain should have, and begins moves where they pay.
+    """Decides how many groups each domain should have, and starts worthwhile moves.
 
     Parameters
     ==========
 
-    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
-    may_begin : whether orders can be given for a while. A move that is cut short by an outage
-        of the store leaves hosts that serve nobody until it is back.
+    tolerates_hall_loss : whether capacity is planned for the loss of a whole hall.
+    may_begin : returns whether the lease stays valid for a while. A move that is interrupted
+        by a store outage leaves its hosts idle until the store recovers.
     """
 
     def __init__(
@@ -84,16 +81,16 @@
     def targets(
         self, service: Service, views: list[DomainView], demand: dict[str, float]
     ) -> dict[str, dict[str, int]]:
-        """Return how many groups of each model each domain should have.
+        """Return the number of groups of each model that each domain should have.
 
         Parameters
         ==========
 
-        demand : what requests of each model hold or wait for; empty while that is unknown.
+        demand : slots that requests of each model hold or wait for; empty while unknown.
         """
         engine = service.engine
         planned = self._with_pending_moves(views)
-        workload = self._work(engine, planned, demand)
+        workload = self._workload(engine, planned, demand)
         self._crowded = crowded_models(planned, workload, self._crowded)
         workload = replace(workload, crowded=self._crowded)
         targets = allocate(planned, engine, workload)
@@ -106,19 +103,19 @@
                 break
             self._start_move(move)
             planned = self._with_pending_moves(views)
-            workload = self._work(engine, planned, demand)
+            workload = self._workload(engine, planned, demand)
             targets = allocate(planned, engine, workload)
         return targets
 
-    def _work(
+    def _workload(
         self, engine: EngineProfile, planned: list[DomainView], demand: dict[str, float]
     ) -> Workload:
-        """Return what the models have to bear, with a hall in reserve where one may be lost."""
+        """Return the workload, with the largest hall as reserve if its loss is planned for."""
         max_hall_groups = max_groups_per_hall(planned) if self._tolerates_hall_loss else {}
         return Workload(engine.slots, demand, self._crowded, max_hall_groups)
 
     def end_term(self) -> None:
-        """Forget moves under way, whose groups serve on."""
+        """Forget the moves in progress; their groups continue to serve."""
         self._pending_moves.clear()
         self._wanted_since.clear()
 
@@ -129,12 +126,12 @@
         engine: EngineProfile,
         workload: Workload,
     ) -> Move | None:
-        """Return a move that can begin at once and has been wanted for long enough."""
+        """Return a move that is ready and has been wanted for at least ``MIN_WANTED_S``."""
         now = self._clock.now()
         cooling_down = {model for model, at in self._moved_at.items() if now - at < MOVE_COOLDOWN_S}
         repaired = [_with_repairs(view, targets[view.name], engine) for view in planned]
-        resting = [view for view in repaired if view.name not in self._pending_moves]
-        move = next_move(repaired, resting, engine, workload, cooling_down)
+        movable = [view for view in repaired if view.name not in self._pending_moves]
+        move = next_move(repaired, movable, engine, workload, cooling_down)
         wanted = set() if move is None or not move.is_ready else {move.to_model}
         self._wanted_since = {model: self._wanted_since.get(model, now) for model in wanted}
         if not wanted or now - self._wanted_since[move.to_model] < MIN_WANTED_S:
@@ -142,27 +139,27 @@
         return move
 
     def _with_pending_moves(self, views: list[DomainView]) -> list[DomainView]:
-        """Return domains as they will be once the moves under way are done."""
+        """Return the domains as they will be after the moves in progress."""
         now = self._clock.now()
         known = {view.name: view for view in views}
         self._pending_moves = {
-            domain: underway
-            for domain, underway in self._pending_moves.items()
-            if not underway.is_over(known.get(domain), now)
+            domain: pending
+            for domain, pending in self._pending_moves.items()
+            if not pending.is_over(known.get(domain), now)
         }
         return [self._with_pending_move(view) for view in views]
 
     def _with_pending_move(self, view: DomainView) -> DomainView:
-        underway = self._pending_moves.get(view.name)
-        if underway is None:
+        pending = self._pending_moves.get(view.name)
+        if pending is None:
             return view
-        move = underway.move
-        ended = {group.place for group in move.ended}
-        serving = tuple(group for group in view.serving if group.place not in ended)
-        given = len(view.serving) - len(serving)
+        move = pending.move
+        ended = {group.key for group in move.ended}
+        serving = tuple(group for group in view.serving if group.key not in ended)
+        ended_count = len(view.serving) - len(serving)
         groups = {
             **view.groups,
-            move.from_model: view.groups.get(move.from_model, 0) - given,
+            move.from_model: view.groups.get(move.from_model, 0) - ended_count,
             move.to_model: move.count,
         }
         return replace(view, groups=groups, serving=serving)
@@ -171,18 +168,18 @@
         self._pending_moves[move.domain] = _PendingMove(move, self._clock.now() + MOVE_TIMEOUT_S)
         self._moved_at[move.to_model] = self._clock.now()
         for group in move.ended:
-            name, epoch = group.place
-            head = self._hosts.head_of(group.place)
+            name, epoch = group.key
+            head = self._hosts.head_of(group.key)
             if head is None:
                 continue
-            self._hosts.begin_retiring(group.place, head.id, yields_hosts=True)
+            self._hosts.begin_retiring(group.key, head.id, yields_hosts=True)
             self._log.event(
                 "group_retiring", group=name, epoch=epoch, why=f"hosts move to {move.to_model}"
             )
 
 
 def _with_repairs(view: DomainView, targets: dict[str, int], engine: EngineProfile) -> DomainView:
-    """Return a domain with the groups that its free hosts are about to form."""
+    """Return a domain including the groups that its free hosts can form at once."""
     groups = Counter(view.groups)
     groups.update(plan.model for plan in plan_groups(view, engine.models, targets))
     return replace(view, groups=dict(groups))
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -1,4 +1,4 @@
-"""Over all domains, hosts go to the model whose requests wait."""
+"""Tests for moving hosts to the models whose requests queue."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def _moves(views: list[DomainView], demand: dict[str, float]) -> list[str]:
-    """Return the domains that move one after the other until no move is worth it."""
+    """Return the domains of successive moves, until no move is worthwhile."""
     workload, moved = _workload(demand, views), []
     while (move := next_move(views, views, ENGINE, workload)) is not None:
         moved.append(move.domain)
@@ -138,7 +138,7 @@
 def _domains_with_moves(
     rebalancer: HostRebalancer, views: list[DomainView], demand: dict[str, float]
 ) -> set[str]:
-    """Return the domains whose targets differ from what they have."""
+    """Return the domains whose targets differ from their current groups."""
     targets = rebalancer.targets(SERVICE, views, demand)
     return {view.name for view in views if targets[view.name] != view.groups}
 
@@ -189,7 +189,7 @@
     run_world(test)
 
 
-@pytest.mark.parametrize("spares_hall", [False, True])
+@pytest.mark.parametrize("tolerates_hall_loss", [False, True])
 def test_crowded_model_gets_more_groups_where_a_whole_hall_may_be_lost(tolerates_hall_loss):
     async def test():
         rebalancer = _rebalancer(VirtualClock(), tolerates_hall_loss=tolerates_hall_loss)
--- a/mulleinreach/gateway/fleet/tests/test_draining.py
+++ b/mulleinreach/gateway/fleet/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Groups with a member that announced its end."""
+"""Tests for groups with a draining member."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
-# Events of a stream come every 0.04 s.
+# A stream sends an event every 0.04 s.
 EVENTS_IN_TWO_SECONDS = 50
 
 
@@ -19,11 +19,11 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = [asyncio.create_task(world.stream(EVENTS_IN_TWO_SECONDS)) for _ in range(12)]
+        streams = [asyncio.create_task(world.stream(EVENTS_IN_TWO_SECONDS)) for _ in range(12)]
         await asyncio.sleep(0.5)
         leaving = member_of(world, LARGE, rank)
         leaving.drain()
-        answers = await asyncio.gather(*asking)
+        answers = await asyncio.gather(*streams)
         assert all(len(answer.event_ids) == EVENTS_IN_TWO_SECONDS for answer in answers)
         assert all(len(hosts) == 1 for hosts in world.fabric.checks.runs.values())
 
@@ -34,7 +34,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(world.stream(EVENTS_IN_TWO_SECONDS))
+        streams = asyncio.create_task(world.stream(EVENTS_IN_TWO_SECONDS))
         await asyncio.sleep(0.3)
         leaving = member_of(world, LARGE, rank=1)
         head = leaving.standing.members[0]
@@ -48,7 +48,7 @@
         for host in world.fabric.hosts.values():
             if host is not leaving and host.standing is not None:
                 assert leaving.id not in host.standing.members
-        await asking
+        await streams
 
     run_world(test)
 
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Groups are formed, repaired and taken over, and never wrongly."""
+"""Tests for forming and repairing groups, and for coordinator changes meanwhile."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 def member_of(world: GatewayWorld, model: str, rank: int):
-    """Return a host that stands at a rank of an open group."""
+    """Return the member of an open group with the given rank."""
     head = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, model)[0]
     standing = world.fabric.hosts[head.upstream.id].standing
     return world.fabric.hosts[standing.members[rank]]
@@ -344,9 +344,9 @@
         other = next(node for node in world.nodes.values() if node is not holder)
         await other.lease.read_state()
         other.coordination._election_delay_s = lambda: 1.0
-        standing = asyncio.create_task(other.coordination._stand_for_election())
+        election = asyncio.create_task(other.coordination._stand_for_election())
         await asyncio.sleep(1.5)
-        standing.cancel()
+        election.cancel()
         assert not other.lease.is_held()
         assert holder.lease.is_held()
 
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -1,4 +1,4 @@
-"""What is believed of groups never repeats requests or orders that change nothing."""
+"""Tests that stale state of groups does not cause endless requests or orders."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         node = world.nodes["node-0"]
         head = node.chooser.heads(MODEL_SERVICE, LARGE)[0]
         for refusals in (1, 2):
-            node.chooser._chosen[head.upstream.id] = head
+            node.chooser._last_chosen[head.upstream.id] = head
             node.chooser.note_misdirected(head.upstream.id)
             ids = [known.upstream.id for known in node.chooser.heads(MODEL_SERVICE, LARGE)]
             assert (head.upstream.id in ids) == (refusals < 2)
@@ -46,12 +46,12 @@
             return Accepted()
 
         world.fabric.leave = leave
-        # The list is read as often as while a group is formed, so that the row which
-        # contradicts the accepted order is heard before the host is used elsewhere.
+        # Polls the list at the high rate used while groups are formed, so that the stale row
+        # is received before the host is used elsewhere.
         coordinator.operator._quick_waits = 1
         stale = host.describe()
         host.report = lambda: stale
-        coordinator.hosts.mark_ended(Group(*head.group_key, {}), None)
+        coordinator.hosts.mark_ended(Group(*head.place, {}), None)
         for _ in range(400):
             await asyncio.sleep(0.05)
             world.store.put(UPSTREAMS, head.id, stale)
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -1,4 +1,4 @@
-"""Hosts that start again under the name that they had, and hold nothing of before."""
+"""Tests for hosts that restart under the same name and lose their state."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 from mulleinreach.gateway.upstream import incarnation_id, upstream_name
 from mulleinreach.standins.gateway.world import LARGE, SMALL
 
-# A group of four whose host starts again is whole once more after the order to join, the load of
-# its weights from the host's disk and the opening: 0.5 s, 0.3 s and some rounds.
+# Covers joining, loading weights from the host's disk and opening.
 MAX_REPAIR_S = 2.5
 
 
 def member_of_open_group(world, rank: int):
-    """Return a host of an open wide group by its rank."""
+    """Return the member of an open group of the large model with the given rank."""
     for host in world.fabric.hosts.values():
         standing = host.standing
         if standing is not None and standing.model == LARGE and standing.members[rank] == host.id:
@@ -27,7 +26,7 @@
 
 
 def is_member(host, group: str) -> bool:
-    """Whether a host stands in a group."""
+    """Whether a host is a member of a group."""
     return host.standing is not None and host.standing.group == group
 
 
@@ -60,20 +59,20 @@
 
 
 def test_streams_resume_at_once_when_a_head_restarts_without_a_reset():
-    """Its connections give no reset, so only the list tells that they lead nowhere."""
+    """Without connection resets, only the list shows that the head was replaced."""
 
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
         began_at = world.clock.now()
-        asking = [asyncio.create_task(world.stream(60, node=name)) for name in world.nodes]
+        streams = [asyncio.create_task(world.stream(60, node=name)) for name in world.nodes]
         await asyncio.sleep(0.4)
         runs = [hosts[-1] for hosts in world.fabric.checks.runs.values()]
         for head in set(runs):
             world.crashes.begin(head, 0.05, keeps_name=True, is_silent=True)
-        answers = await asyncio.gather(*asking)
+        answers = await asyncio.gather(*streams)
         assert [len(answer.event_ids) for answer in answers] == [60] * len(answers)
-        # Sixty events take 2.4 s; the silence alone would show after 1.5 s.
+        # Sixty events take 2.4 s; the stall timeout alone would add 1.5 s.
         assert world.clock.now() - began_at < 2.4 + 1.0
         for node in world.nodes.values():
             assert all(node.loads.running(head) == 0 for head in runs)
@@ -115,7 +114,7 @@
 def test_list_alone_ends_requests_at_an_earlier_start():
     async def test(world):
         await world.until_formed()
-        asking = asyncio.create_task(world.stream(60, node="node-1"))
+        stream = asyncio.create_task(world.stream(60, node="node-1"))
         await asyncio.sleep(0.4)
         node = world.nodes["node-1"]
         [runs] = world.fabric.checks.runs.values()
@@ -124,7 +123,7 @@
         node.directory.apply(ListChange(node.directory.revision, [later], []), world.clock.now())
         await asyncio.sleep(0.05)
         assert node.loads.running(before.id) == 0
-        answer = await asking
+        answer = await stream
         assert len(answer.event_ids) == 60
 
     run_world(test, nodes=2)
