--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class DomainCandidate:
-    """A domain that was weighed; ``cost`` is ``None`` where it has too few hosts."""
+    """A domain that was considered; ``cost`` is ``None`` where it has too few hosts."""
 
     domain: str
     free: int
@@ -45,7 +45,7 @@
 
     domain: str
     hosts: tuple[str, ...]
-    weighed: tuple[DomainCandidate, ...]
+    considered: tuple[DomainCandidate, ...]
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
     """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
 
     needed: int
-    weighed: tuple[DomainCandidate, ...]
+    considered: tuple[DomainCandidate, ...]
 
 
 def unusable_hosts(free: int, sizes: list[int]) -> int:
@@ -88,18 +88,18 @@
 def place_replica(view: FleetView, service: ServiceIntent) -> Placement | Shortage:
     """Choose the hosts of one more replica of ``service``."""
     by_domain = allowed_hosts(service, view.free_hosts())
-    weighed = tuple(
-        _weigh_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
+    considered = tuple(
+        _evaluate_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
     )
-    possible = [choice for choice in weighed if choice.cost is not None]
+    possible = [choice for choice in considered if choice.cost is not None]
     if not possible:
-        most = max((choice.free for choice in weighed), default=0)
-        return Shortage(service.hosts_per_replica - most, weighed)
+        most = max((choice.free for choice in considered), default=0)
+        return Shortage(service.hosts_per_replica - most, considered)
     best = min(possible, key=lambda choice: (choice.cost, choice.domain))
-    return Placement(best.domain, best.hosts, weighed)
+    return Placement(best.domain, best.hosts, considered)
 
 
-def _weigh_domain(
+def _evaluate_domain(
     view: FleetView, service: ServiceIntent, domain: str, free: list[HostView]
 ) -> DomainCandidate:
     size = service.hosts_per_replica
