--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -30,7 +30,7 @@
 from mulleinreach.gateway.coordination.succession import tell_replaced
 from mulleinreach.gateway.coordination.term import CoordinatorTerm
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import LeaseRecord
 
 RETRY_S = 0.3
@@ -52,7 +52,7 @@
         self,
         identity: GatewayIdentity,
         lease: CoordinatorLease,
-        loads: LoadBook,
+        loads: LoadTracker,
         network: Network,
         clock: Clock,
         log: EventLog,
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -12,7 +12,7 @@
     NodeReport,
 )
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 
 # For so long a new coordinator is told all that this node saw of upstreams that ended.
 INTRODUCTION_S = 1.0
@@ -49,7 +49,7 @@
         self,
         identity: GatewayIdentity,
         lease: CoordinatorLease,
-        loads: LoadBook,
+        loads: LoadTracker,
         knowledge: Knowledge,
         clock: Clock,
     ):
--- a/mulleinreach/gateway/coordination/tests/test_silent_connections.py
+++ b/mulleinreach/gateway/coordination/tests/test_silent_connections.py
@@ -23,7 +23,7 @@
         await world.until(lambda: not any(node.coordination.is_following for node in others))
         await asyncio.sleep(JOINED_AGAIN_S)
         assert all(node.coordination.is_following for node in others)
-        assert all(node.loads.is_told_lately() for node in others)
+        assert all(node.loads.has_recent_totals() for node in others)
         assert world.coordinator() == coordinator
 
     run_world(test, nodes=3)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -24,7 +24,7 @@
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 from mulleinreach.gateway.known.permits import PermitCount, SendPermits
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
@@ -52,7 +52,7 @@
         in_force: ConfigurationInForce,
         follower: UpstreamFollower,
         directory: UpstreamDirectory,
-        loads: LoadBook,
+        loads: LoadTracker,
         chooser: UpstreamChooser,
         eligibility: Eligibility,
         cold_limit: ColdRateLimit,
@@ -195,7 +195,7 @@
         own_loads : what that report told of this node's own requests.
         """
         totals = report.totals
-        self._loads.take_totals(totals.loads, own_loads)
+        self._loads.update_totals(totals.loads, own_loads)
         self._in_force.take_passed(
             totals.configuration_version,
             asked_at - totals.configuration_age_s,
--- a/mulleinreach/gateway/known/routing.py
+++ b/mulleinreach/gateway/known/routing.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Set
 
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.model import EngineProfile
 from mulleinreach.gateway.upstream import Upstream
@@ -89,7 +89,7 @@
     .. [1] Mitzenmacher, "How useful is old information?", 2000.
     """
 
-    def __init__(self, loads: LoadBook, rng: random.Random, hall: str = ""):
+    def __init__(self, loads: LoadTracker, rng: random.Random, hall: str = ""):
         self._loads = loads
         self._rng = rng
         self._hall = hall
@@ -135,7 +135,7 @@
         return upstream.hall == self._hall
 
     def _is_stalled(self, head: Head) -> bool:
-        return self._loads.known_stalled_s(head.upstream.id) > STALLED_S
+        return self._loads.stalled_s_all_nodes(head.upstream.id) > STALLED_S
 
     def predict(self, head: Head, profile: EngineProfile, prompt_tokens: int) -> float:
         """Return the predicted milliseconds to a request's first event at a head."""
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -30,7 +30,7 @@
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import LimitBook
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.known.notices import NoticeBook
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.routing import Router
@@ -104,7 +104,7 @@
 
     def _make_state(self) -> None:
         self.directory = UpstreamDirectory(self._on_lost)
-        self.loads = LoadBook(self.clock)
+        self.loads = LoadTracker(self.clock)
         self.suspects = SuspectList(self.clock)
         self.active = ActiveExchanges()
         self.limits = LimitBook(self.directory, self.clock, self.log)
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -17,7 +17,7 @@
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.choosing import UpstreamChooser
 from mulleinreach.gateway.known.eligibility import RequestTerms
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import CallerHeaders
 
 # Seconds, and the share of what is left of a caller's time, that a late request waits at most.
@@ -33,7 +33,9 @@
 class LateGate:
     """Holds late requests back while heads are nearly full."""
 
-    def __init__(self, chooser: UpstreamChooser, loads: LoadBook, clock: Clock, rng: random.Random):
+    def __init__(
+        self, chooser: UpstreamChooser, loads: LoadTracker, clock: Clock, rng: random.Random
+    ):
         self._chooser = chooser
         self._loads = loads
         self._clock = clock
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.content import content_digest, format_digest
-from mulleinreach.gateway.known.load import Ticket
+from mulleinreach.gateway.known.load import InFlightRequest
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RouteKind, Service
@@ -283,7 +283,7 @@
         job: RelayJob,
         result: Streaming,
         exchange: ActiveExchange,
-        ticket: Ticket,
+        ticket: InFlightRequest,
         response: web.StreamResponse,
     ) -> bool:
         """Pass on whole events; returns whether the stream came to its sound end."""
