--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from mulleinreach.gateway.known.limits import bearable_per_s, permit_s
+from mulleinreach.gateway.known.limits import permit_lifetime_s, send_rate_per_s
 from mulleinreach.gateway.known.permits import PermitCount
 
 # Permits that may gather while nobody wants them. With fewer, those are lost that become due
@@ -43,7 +43,8 @@
     ===========
 
     Permits are drawn from a token bucket. Within any time of T seconds no more are spent than
-    ``limit * (T + permit_s(limit)) + max(BURST, BURST_S * limit)``, whatever becomes of messages.
+    ``limit * (T + permit_lifetime_s(limit)) + max(BURST, BURST_S * limit)``, whatever becomes
+    of messages.
 
     Parameters
     ==========
@@ -87,9 +88,9 @@
                 wants_by_upstream[want.upstream_id][node] = want.count
         given: dict[Node, list[PermitCount]] = defaultdict(list)
         for upstream_id, limit in limits.items():
-            if now - self._begun_at < permit_s(limit) + MARGIN_S:
+            if now - self._begun_at < permit_lifetime_s(limit) + MARGIN_S:
                 continue
-            per_s = bearable_per_s(limit)
+            per_s = send_rate_per_s(limit)
             counts = self._allocate_one(upstream_id, per_s, wants_by_upstream[upstream_id], now)
             for node, count in counts.items():
                 given[node].append(PermitCount(upstream_id, count))
--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -6,7 +6,7 @@
 from contextlib import AbstractContextManager
 
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
-from mulleinreach.gateway.known.limits import LimitBook
+from mulleinreach.gateway.known.limits import LimitTracker
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
@@ -32,12 +32,12 @@
         """Return a node that knows the upstream and no limit of it."""
         directory = UpstreamDirectory()
         directory.replace_all(1, [UPSTREAM], self.clock.now())
-        book = LimitBook(directory, self.clock, SilentLog())
+        book = LimitTracker(directory, self.clock, SilentLog())
         return SendPermits(book, self.clock, random.Random(seed))
 
     def tell(self, number: int, limit: float) -> None:
         """Let an answer of the upstream name its limit to a node."""
-        self.nodes[number].limits.take(UPSTREAM.id, limit)
+        self.nodes[number].limits.record_answer(UPSTREAM.id, limit)
 
     def start_again(self, number: int) -> None:
         """Let a node start again, which an answer has told the limit."""
@@ -47,10 +47,10 @@
     def ask(self, number: int) -> bool:
         """Let a node send a request if it may, else elsewhere; returns whether it did."""
         node = self.nodes[number]
-        node.demand.note_asked(UPSTREAM.id)
+        node.demand.note_request(UPSTREAM.id)
         if self._send_if_allowed(node):
             return True
-        node.demand.note_withheld(UPSTREAM.id)
+        node.demand.note_diverted(UPSTREAM.id)
         return False
 
     def _send_if_allowed(self, node: SendPermits) -> bool:
@@ -63,7 +63,7 @@
     def ask_and_wait(self, number: int) -> None:
         """Let a node send a request now, or after the coordinator's next answer, if it may."""
         node = self.nodes[number]
-        node.demand.note_asked(UPSTREAM.id)
+        node.demand.note_request(UPSTREAM.id)
         if self._send_if_allowed(node):
             return
         waits = node.demand.waiting(UPSTREAM.id)
@@ -86,7 +86,7 @@
         given = self.allocator.allocate(wanted, {UPSTREAM.id: self.limit}, now)
         for number in hearers - lost:
             permits = given.get(number, [])
-            self.nodes[number].take(permits, now - late_s, len(self.nodes))
+            self.nodes[number].receive(permits, now - late_s, len(self.nodes))
         waiting, self._waiting = self._waiting, []
         for node, waits in waiting:
             self._send_if_allowed(node)
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.gateway.coordination.permit_allocation import BURST, PermitAllocator
 from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, Desk
-from mulleinreach.gateway.known.limits import NamedLimit, permit_s
+from mulleinreach.gateway.known.limits import NamedLimit, permit_lifetime_s
 from mulleinreach.gateway.known.permits import PermitCount
 from mulleinreach.gateway.tests.limited import assert_kept, rate
 
@@ -146,14 +146,16 @@
 
 def test_word_of_a_coordinator_dates_permits_from_what_it_answers():
     desk = Desk(2, 5.0)
-    desk.nodes[0].take([PermitCount(UPSTREAM.id, 2)], desk.clock.now() - permit_s(5.0), 2)
+    desk.nodes[0].receive(
+        [PermitCount(UPSTREAM.id, 2)], desk.clock.now() - permit_lifetime_s(5.0), 2
+    )
     assert not desk.nodes[0].may_send(UPSTREAM.id)
 
 
 def test_limit_that_sinks_ends_the_permits_that_were_given_out_before():
     desk = Desk(1, 30.0)
     node = desk.nodes[0]
-    node.take([PermitCount(UPSTREAM.id, 20)], desk.clock.now(), 2)
+    node.receive([PermitCount(UPSTREAM.id, 20)], desk.clock.now(), 2)
     assert node.may_send(UPSTREAM.id)
     desk.clock.at += 0.1
     desk.tell(0, 1.0)
@@ -163,7 +165,7 @@
 def test_limit_that_is_told_binds_a_node_that_had_no_answer():
     desk = Desk(1, 5.0)
     other = desk.make_node(1)
-    other.limits.take_told([NamedLimit(UPSTREAM.id, 5.0)], desk.clock.now())
+    other.limits.merge_published([NamedLimit(UPSTREAM.id, 5.0)], desk.clock.now())
     assert not other.may_send(UPSTREAM.id)
 
 
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -96,7 +96,7 @@
             evacuated=sorted(self._in_force.evacuations.halls),
             operator_revision=self._in_force.evacuations.revision,
             held=self._crashes.held(),
-            limits=self._permits.limits.named(),
+            limits=self._permits.limits.known_limits(),
         )
 
     def changes_since(self, revision: int) -> list[ListChange] | None:
@@ -137,11 +137,11 @@
 
     def untold_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
-        return self._permits.limits.untold(includes_told)
+        return self._permits.limits.unpublished(includes_told)
 
     def take_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Take what another node knows of the limits of upstreams."""
-        self._permits.limits.take_reported(named)
+        self._permits.limits.merge_reported(named)
 
     def limits(self) -> dict[str, float]:
         """Return the limits of upstreams that are in force, in requests a second."""
@@ -214,8 +214,8 @@
             )
         self._cold_limit.take_number(report.number, totals.numbers, asked_at)
         if totals.limits is not None:
-            self._permits.limits.take_told(totals.limits, asked_at)
-        self._permits.take(report.permits, asked_at, totals.nodes)
+            self._permits.limits.merge_published(totals.limits, asked_at)
+        self._permits.receive(report.permits, asked_at, totals.nodes)
         self._crashes.take_held(totals.held or (), asked_at)
         self._take_heads(totals)
         self._take_lost(totals.lost)
--- a/mulleinreach/gateway/known/choosing.py
+++ b/mulleinreach/gateway/known/choosing.py
@@ -203,13 +203,13 @@
         asked = self.choose(terms, headers, set(), heeds_limits=False)
         if asked is None:
             return None
-        self._permits.demand.note_asked(asked.id)
+        self._permits.demand.note_request(asked.id)
         if self._permits.may_send(asked.id):
             return None
         if self.choose(terms, headers, set()) is not None:
-            self._permits.demand.note_withheld(asked.id)
+            self._permits.demand.note_diverted(asked.id)
             return None
-        if self._permits.are_short(asked.id):
+        if self._permits.are_unavailable(asked.id):
             return None
         began_at = self._clock.now()
         await self._permits.wait(asked.id)
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -29,7 +29,7 @@
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.limits import LimitBook
+from mulleinreach.gateway.known.limits import LimitTracker
 from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.known.notices import NoticeBook
 from mulleinreach.gateway.known.permits import SendPermits
@@ -107,7 +107,7 @@
         self.loads = LoadTracker(self.clock)
         self.suspects = SuspectList(self.clock)
         self.active = ActiveExchanges()
-        self.limits = LimitBook(self.directory, self.clock, self.log)
+        self.limits = LimitTracker(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
         self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams)
         self.ports.orders.listen(self._on_notice)
@@ -307,7 +307,7 @@
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
         self.notices.take(upstream, notice)
         if notice.limit_per_s is not None:
-            self.limits.take(upstream.id, notice.limit_per_s)
+            self.limits.record_answer(upstream.id, notice.limit_per_s)
 
     def _on_upstreams(self) -> None:
         self.controller.notify()
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -7,7 +7,12 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.known.limits import ENDED_TOLD_S, UNLISTED_KEPT_S, LimitBook, NamedLimit
+from mulleinreach.gateway.known.limits import (
+    ENDED_LIMIT_KEPT_S,
+    UNLISTED_LIMIT_KEPT_S,
+    LimitTracker,
+    NamedLimit,
+)
 from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.tests.desk import NO_HOSTS, answer_whole, serve_desk
@@ -27,75 +32,75 @@
 LATER = incarnation_id("desk-0", 2)
 
 
-def make_book(*upstreams) -> tuple[LimitBook, SteppedClock]:
+def make_book(*upstreams) -> tuple[LimitTracker, SteppedClock]:
     """Return a book whose list has some upstreams, and its clock."""
     clock, directory = SteppedClock(), UpstreamDirectory()
     directory.replace_all(1, list(upstreams), clock.now())
-    return LimitBook(directory, clock, SilentLog()), clock
+    return LimitTracker(directory, clock, SilentLog()), clock
 
 
 def test_later_start_under_the_name_has_no_limit():
     book, _ = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     assert book.is_limited(FIRST.id)
     assert not book.is_limited(LATER)
 
 
 def test_answer_without_a_limit_before_any_is_no_news():
     book, _ = make_book(FIRST)
-    book.take(FIRST.id, math.inf)
+    book.record_answer(FIRST.id, math.inf)
     assert not book.has_any
-    assert book.untold(includes_told=True) == ()
+    assert book.unpublished(includes_published=True) == ()
 
 
 def test_earlier_word_that_comes_late_changes_nothing():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     clock.at += 1
-    book.take(FIRST.id, math.inf)
-    book.take_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
-    book.take_told([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
+    book.record_answer(FIRST.id, math.inf)
+    book.merge_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
+    book.merge_published([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
     assert not book.is_limited(FIRST.id)
 
 
 def test_later_word_of_another_node_counts_either_way():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     clock.at += 1
-    book.take_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
+    book.merge_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
     assert book.limit_per_s(FIRST.id) == 4.0
-    book.take_reported([NamedLimit(FIRST.id, math.inf, 0.1)])
+    book.merge_reported([NamedLimit(FIRST.id, math.inf, 0.1)])
     assert not book.is_limited(FIRST.id)
 
 
 def test_limit_that_ended_is_told_for_a_while_and_then_forgotten():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     clock.at += 1
-    book.take(FIRST.id, math.inf)
-    assert [limit.per_s for limit in book.named()] == [math.inf]
-    clock.at += ENDED_TOLD_S
-    assert book.named() == ()
+    book.record_answer(FIRST.id, math.inf)
+    assert [limit.per_s for limit in book.known_limits()] == [math.inf]
+    clock.at += ENDED_LIMIT_KEPT_S
+    assert book.known_limits() == ()
 
 
 def test_limit_of_an_upstream_that_is_gone_is_forgotten_one_on_the_list_is_not():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
-    book.take("another", 2.0)
-    clock.at += UNLISTED_KEPT_S
+    book.record_answer(FIRST.id, 1.5)
+    book.record_answer("another", 2.0)
+    clock.at += UNLISTED_LIMIT_KEPT_S
     assert book.limits() == {FIRST.id: 1.5}
 
 
 def test_coordinator_is_told_only_what_it_has_not_told():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
-    assert [limit.per_s for limit in book.untold(includes_told=False)] == [1.5]
-    book.take_told([NamedLimit(FIRST.id, 1.5)], clock.now())
-    assert book.untold(includes_told=False) == ()
-    assert len(book.untold(includes_told=True)) == 1
+    book.record_answer(FIRST.id, 1.5)
+    assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [1.5]
+    book.merge_published([NamedLimit(FIRST.id, 1.5)], clock.now())
+    assert book.unpublished(includes_published=False) == ()
+    assert len(book.unpublished(includes_published=True)) == 1
     clock.at += 1
-    book.take(FIRST.id, 2.5)
-    assert [limit.per_s for limit in book.untold(includes_told=False)] == [2.5]
+    book.record_answer(FIRST.id, 2.5)
+    assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [2.5]
 
 
 def test_refusal_without_a_limit_ends_none():
