--- a/mulleinreach/gateway/known/permit_demand.py
+++ b/mulleinreach/gateway/known/permit_demand.py
@@ -61,11 +61,13 @@
     def _expected_use(self, upstream_id: str) -> int:
         """Return how many permits would be spent: by who waits, and by who will soon come."""
         # One request alone shows no rate.
-        requests_per_s = max(0, len(self._requested_at[upstream_id]) - 1) / DEMAND_WINDOW_S
+        request_rate_per_s = max(0, len(self._requested_at[upstream_id]) - 1) / DEMAND_WINDOW_S
         prefetch_s = PREFETCH_FRACTION * permit_lifetime_s(self._limits.limit_per_s(upstream_id))
         since = self._clock.now() - DIVERTED_KEPT_S
         was_diverted = self._diverted_at.get(upstream_id, since) > since
-        return self._waiting[upstream_id] + max(int(requests_per_s * prefetch_s), int(was_diverted))
+        return self._waiting[upstream_id] + max(
+            int(request_rate_per_s * prefetch_s), int(was_diverted)
+        )
 
     def _drop_expired(self) -> None:
         """Forget requests that are too old to count, and what goes with them."""
--- a/mulleinreach/gateway/known/permits.py
+++ b/mulleinreach/gateway/known/permits.py
@@ -73,7 +73,7 @@
         self._held: dict[str, _HeldPermits] = {}
         # When the coordinator had no permit for a request that waited.
         self._unavailable_at: dict[str, float] = {}
-        self._received = asyncio.Event()
+        self._permits_received = asyncio.Event()
         # When this node may send next on its own.
         self._isolated_send_at: dict[str, float] = {}
         self._reported_at = float("-inf")
@@ -98,8 +98,8 @@
             held = self._held.setdefault(permits.upstream_id, _HeldPermits(limit, deque()))
             held.limit_per_s = limit
             held.expiries.extend([asked_at + permit_lifetime_s(limit)] * permits.count)
-        news, self._received = self._received, asyncio.Event()
-        news.set()
+        received, self._permits_received = self._permits_received, asyncio.Event()
+        received.set()
 
     def _drop_expired(self) -> None:
         """Forget upstreams for which no permit is left."""
@@ -168,8 +168,8 @@
 
     def are_unavailable(self, upstream_id: str) -> bool:
         """Whether it is in vain to wait for a permit, as far as is known."""
-        short_for_s = self._clock.now() - self._unavailable_at.get(upstream_id, float("-inf"))
-        return self._is_isolated() or short_for_s < UNAVAILABLE_KEPT_S
+        unavailable_for_s = self._clock.now() - self._unavailable_at.get(upstream_id, float("-inf"))
+        return self._is_isolated() or unavailable_for_s < UNAVAILABLE_KEPT_S
 
     async def wait(self, upstream_id: str) -> None:
         """Wait until a request may be sent, or the coordinator has had no permit for it."""
@@ -177,7 +177,7 @@
         with contextlib.suppress(TimeoutError), self.demand.waiting(upstream_id):
             async with asyncio.timeout(MAX_PERMIT_WAIT_S):
                 while not self.may_send(upstream_id) and self._reported_at <= asked_at:
-                    await self._received.wait()
+                    await self._permits_received.wait()
         if not self.may_send(upstream_id):
             self._note_unavailable(upstream_id)
 
