--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -127,8 +127,8 @@
         "RESTORE",
         "a coordinator's own word confirms none",
         f"{GATEWAY}/known/evacuations.py",
-        "is_news = revision > self.revision",
-        "is_news = True",
+        "is_newer = revision > self.revision",
+        "is_newer = True",
         f"{RESTORED} -k another_row",
     ),
     Breakage(
--- a/mulleinreach/gateway/coordination/numbering.py
+++ b/mulleinreach/gateway/coordination/numbering.py
@@ -5,12 +5,12 @@
 import itertools
 from collections.abc import Collection, Hashable
 
-from mulleinreach.gateway.known.cold import NUMBER_HOLDS_S, WINDOW_S
+from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S
 
 # Seconds between two changes of the numbers, and before the first ones of a term: those from
 # before the last change have lapsed, and requests sent by them count no more. A tenth is for
 # clocks that don't run alike.
-STEADY_S = NUMBER_HOLDS_S + WINDOW_S + 0.1
+STEADY_S = NUMBER_VALID_S + RATE_WINDOW_S + 0.1
 
 
 class NodeNumbers:
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -212,7 +212,7 @@
             self._follower.take_passed(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
             )
-        self._cold_limit.take_number(report.number, totals.numbers, asked_at)
+        self._cold_limit.set_number(report.number, totals.numbers, asked_at)
         if totals.limits is not None:
             self._permits.limits.merge_published(totals.limits, asked_at)
         self._permits.receive(report.permits, asked_at, totals.nodes)
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -119,7 +119,7 @@
         evacuated : the halls that are to be empty.
         revision : the store's revision for which that holds.
         """
-        is_agreed = self.evacuations.take_passed(evacuated, revision, self.evidence_at)
+        is_agreed = self.evacuations.apply_published(evacuated, revision, self.evidence_at)
         if version > self.version and document:
             self._take_document(document)
         if version > self.version:
@@ -191,7 +191,7 @@
             return False
         self._state.answered()
         self._revision = result.revision
-        self.evacuations.take_rows(
+        self.evacuations.apply_rows(
             result.evacuations, result.is_whole, result.revision, self.evidence_at
         )
         if result.configuration is not None:
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -14,7 +14,7 @@
 from mulleinreach.common import Address, Clock, EventLog
 from mulleinreach.gateway.coordination.numbering import NodeNumbers
 from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.known.cold import NUMBER_HOLDS_S, WINDOW_S, ColdRateLimit, quota
+from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import Configuration
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
@@ -60,7 +60,9 @@
 def most_in_a_second(times: Iterable[float]) -> int:
     """Return how many moments lie within one second at most."""
     ordered = sorted(times)
-    return max((sum(t <= other < t + WINDOW_S for other in ordered) for t in ordered), default=0)
+    return max(
+        (sum(t <= other < t + RATE_WINDOW_S for other in ordered) for t in ordered), default=0
+    )
 
 
 class Arrivals:
@@ -143,7 +145,7 @@
             self._hub.update(sorted(self._connected), self._clock.now())
             for node in self._connected:
                 number = self._hub.number_of(node)
-                self._limits[node].take_number(number, self._hub.count, self._clock.now())
+                self._limits[node].set_number(number, self._hub.count, self._clock.now())
             for limit in self._limits:
                 self._send_all(limit)
 
@@ -176,11 +178,11 @@
     clock = SetClock()
     limit = ColdRateLimit(BOUNDS, clock, EventLog("node"))
     assert not limit.allows("u", COLD_PER_S)
-    limit.take_number(3, 3, clock.now())
+    limit.set_number(3, 3, clock.now())
     assert not limit.allows("u", COLD_PER_S)
-    limit.take_number(0, 3, clock.now())
+    limit.set_number(0, 3, clock.now())
     assert limit.allows("u", COLD_PER_S)
-    clock.time += NUMBER_HOLDS_S + 0.1
+    clock.time += NUMBER_VALID_S + 0.1
     assert not limit.allows("u", COLD_PER_S)
 
 
@@ -315,7 +317,7 @@
             await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
         for host in world.fabric.hosts.values():
             host.turn_cold(COLD_S)
-        await asyncio.sleep(TOLD_S + WINDOW_S)
+        await asyncio.sleep(TOLD_S + RATE_WINDOW_S)
         refused = 0
         for _ in range(12):
             asked_at = world.clock.now()
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -8,7 +8,7 @@
 
 from mulleinreach.common import EventLog, VirtualClock
 from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.known.evacuations import EMPTYING_PART, NEVER, Evacuations
+from mulleinreach.gateway.known.evacuations import NEVER, RAMP_DOWN_FRACTION, Evacuations
 from mulleinreach.gateway.ports import EvacuationRow
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
 from mulleinreach.gateway.tests.desk import answer_whole, fail, refuse
@@ -116,7 +116,7 @@
         await asyncio.sleep(BOUND_S / 4)
         await trouble(world)
         await asyncio.sleep(BOUND_S)
-        assert traffic.starts_after(HALL, asked_at + EMPTYING_PART * BOUND_S + HEARD_S) == []
+        assert traffic.starts_after(HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S + HEARD_S) == []
 
     run_traffic(test)
 
@@ -171,7 +171,7 @@
             assert list(known) == sorted(known, reverse=True)
             assert 0 < min(share for share in known[:10]) < 0.9
         assert traffic.starts_after(HALL, asked_at + 0.5)
-        assert traffic.starts_after(HALL, asked_at + EMPTYING_PART * BOUND_S) == []
+        assert traffic.starts_after(HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S) == []
 
     run_traffic(test)
 
@@ -225,7 +225,9 @@
         world.evacuate("hall-b")
         await asyncio.sleep(BOUND_S)
         for hall in ("hall-a", "hall-b"):
-            assert traffic.starts_after(hall, asked_at + EMPTYING_PART * BOUND_S + HEARD_S) == []
+            assert (
+                traffic.starts_after(hall, asked_at + RAMP_DOWN_FRACTION * BOUND_S + HEARD_S) == []
+            )
         await assert_served(world)
 
     run_traffic(test)
@@ -271,7 +273,7 @@
     async def test():
         evacuations = Evacuations(BOUND_S, ("hall-a",), clock, EventLog("node"))
         rows = [EvacuationRow("hall-a", 3), EvacuationRow("hall-z", 4)]
-        evacuations.take_rows(rows, True, 4, unproven_since=clock.now())
+        evacuations.apply_rows(rows, True, 4, evidence_at=clock.now())
         assert (evacuations.share("hall-a"), evacuations.share("hall-z")) == (1.0, 0.0)
 
     run_virtual(test())
@@ -336,8 +338,8 @@
     async def test():
         evacuations = Evacuations(BOUND_S, ("hall-a",), clock, EventLog("node"))
         await asyncio.sleep(10)
-        assert evacuations.take_passed(frozenset({"hall-a"}), 7, clock.now() - 2)
-        await asyncio.sleep(EMPTYING_PART * BOUND_S - 2 - 0.1)
+        assert evacuations.apply_published(frozenset({"hall-a"}), 7, clock.now() - 2)
+        await asyncio.sleep(RAMP_DOWN_FRACTION * BOUND_S - 2 - 0.1)
         assert 0 < evacuations.share("hall-a") < 1
         await asyncio.sleep(0.1)
         assert evacuations.share("hall-a") == 0
@@ -349,7 +351,7 @@
     evacuations = Evacuations(BOUND_S, ("hall-a",), VirtualClock(), EventLog("node"))
 
     async def test():
-        evacuations.take_passed(frozenset({"hall-a"}), 7, NEVER)
+        evacuations.apply_published(frozenset({"hall-a"}), 7, NEVER)
         assert evacuations.share("hall-a") == 0
 
     run_virtual(test())
