--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -254,8 +254,9 @@
         "HOME",
         "upstreams in other regions get nothing",
         f"{GATEWAY}/known/eligibility.py",
-        "if terms.homes is not None and self._regions.get(upstream.hall) not in terms.homes:",
-        "if False:",
+        "        if (\n            constraints.homes is not None\n"
+        "            and self._regions.get(upstream.hall) not in constraints.homes\n        ):",
+        "        if False:",
         f"{GATEWAY}/known/tests/test_homes.py",
     ),
     Breakage(
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -256,7 +256,7 @@
         await world.kill_node(world.coordinator())
         await asyncio.sleep(1.2)
         if not node.lease.is_held():
-            assert node.chooser.opened() == []
+            assert node.chooser.coordinator_heads() == []
         assert world.open_groups(LARGE, node.identity.name) == 2
 
     run_world(test)
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -26,7 +26,7 @@
             ids = [known.upstream.id for known in node.chooser.heads(MODEL_SERVICE, LARGE)]
             assert (head.upstream.id in ids) == (refusals < 2)
         opened_anew = replace(head, epoch=head.epoch + 1)
-        node.chooser.take_told([opened_anew], frozenset())
+        node.chooser.set_coordinator_heads([opened_anew], frozenset())
         assert opened_anew in node.chooser.heads(MODEL_SERVICE, LARGE)
 
     run_world(test)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -228,7 +228,7 @@
             for head in self._heads
             if (upstream := self._directory.get(head.upstream_id)) is not None
         ]
-        self._chooser.take_told(opened, frozenset(totals.retiring))
+        self._chooser.set_coordinator_heads(opened, frozenset(totals.retiring))
 
     def _take_lost(self, lost: list[str]) -> None:
         newly_lost = set(lost) - self._eligibility.lost
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -355,7 +355,7 @@
         self.metrics.set_groups(self.directory.group_states())
         self.metrics.holds_lease.set(self.lease.is_held())
         self.metrics.evidence_age.set(self.in_force.evidence_age_s())
-        self.metrics.open_groups.set(len(self.chooser.opened()))
+        self.metrics.open_groups.set(len(self.chooser.coordinator_heads()))
         self.metrics.halls_down.set(len(self.hosts.down_halls))
         configuration = self.in_force.configuration
         services = configuration.services.values() if configuration else ()
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -16,7 +16,7 @@
 
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.choosing import UpstreamChooser
-from mulleinreach.gateway.known.eligibility import RequestTerms
+from mulleinreach.gateway.known.eligibility import RequestConstraints
 from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import CallerHeaders
 
@@ -41,13 +41,15 @@
         self._clock = clock
         self._rng = rng
 
-    async def wait(self, terms: RequestTerms, headers: CallerHeaders, remaining_s: float) -> None:
+    async def wait(
+        self, terms: RequestConstraints, headers: CallerHeaders, remaining_s: float
+    ) -> None:
         """Wait for a head with free places, or until the patience is over."""
         until = self._clock.now() + min(PATIENCE_S, SHARE_OF_WAIT * remaining_s)
         while self._clock.now() < until and self._is_full(terms, headers):
             await asyncio.sleep(self._rng.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S))
 
-    def _is_full(self, terms: RequestTerms, headers: CallerHeaders) -> bool:
+    def _is_full(self, terms: RequestConstraints, headers: CallerHeaders) -> bool:
         """Whether the head that is drawn is nearly full; a model without heads has none to fill.
 
         A request that no head may take is refused sooner than it would be after a wait.
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -92,7 +92,7 @@
                 "permit_awaited",
                 id=job.headers.request_id,
                 upstream=awaited.upstream_id,
-                given=awaited.is_given,
+                given=awaited.is_granted,
                 ms=round(awaited.waited_s * 1000),
             )
 
@@ -117,7 +117,7 @@
 
     def _log_shortage(self, job: RelayJob) -> None:
         """Tell why a request finds no upstream."""
-        shortage = self._chooser.shortage(job.terms, job.headers, job.tried)
+        shortage = self._chooser.exclusion_summary(job.terms, job.headers, job.tried)
         engine = job.service.engine
         # Callers may name anything as a model.
         model = engine.model(job.headers.model or "") if engine else None
@@ -153,7 +153,7 @@
         job.sends += 1
         job.upstream_id = upstream.id
         lateness = self.lateness(job)
-        wait_s = self._chooser.wait_s(job.terms, upstream.id)
+        wait_s = self._chooser.predicted_wait_s(job.terms, upstream.id)
         stands_back = self._stands_back(job, lateness, wait_s)
         job.priority = self._priority(job, stands_back)
         self._log.event(
