--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -32,7 +32,7 @@
         f"{GATEWAY}/known/evacuations.py",
         "        if revision >= self.revision:\n            # A coordinator",
         "        if True:\n            # A coordinator",
-        f"{GATEWAY}/known/tests/test_evacuations.py -k older_word",
+        f"{GATEWAY}/known/tests/test_evacuations.py -k older_report",
     ),
     Breakage(
         "EVAC",
@@ -40,7 +40,7 @@
         f"{GATEWAY}/known/following.py",
         "elif version == self.version and is_agreed:",
         "elif version == self.version:",
-        f"{GATEWAY}/known/tests/test_evacuations.py -k older_word",
+        f"{GATEWAY}/known/tests/test_evacuations.py -k older_report",
     ),
     Breakage(
         "EVAC",
@@ -240,7 +240,7 @@
         f"{GATEWAY}/request/sending.py",
         "        self._chooser.note_sent(job.terms, upstream)\n",
         "",
-        f"{GATEWAY}/known/tests/test_cold.py -k repeats",
+        f"{GATEWAY}/known/tests/test_cold.py -k retries",
     ),
     Breakage(
         "FAILBACK",
--- a/mulleinreach/gateway/known/tests/test_routing.py
+++ b/mulleinreach/gateway/known/tests/test_routing.py
@@ -29,7 +29,7 @@
     return router.choose_head(heads, PROFILE, 100, NO_SUSPECTS).upstream.id
 
 
-def test_busy_head_is_better_than_one_that_stands_still():
+def test_busy_head_is_preferred_to_a_stalled_one():
     async def test():
         loads = LoadTracker(VirtualClock())
         loads.start("still")
@@ -42,17 +42,17 @@
 
 
 @pytest.mark.parametrize(("silent_s", "chosen"), [(0.1, "far"), (0.4, "busy")])
-def test_silence_that_others_saw_counts(silent_s, chosen):
+def test_silence_reported_by_other_nodes_counts(silent_s, chosen):
     async def test():
         loads = LoadTracker(VirtualClock())
-        told = [LoadReport("far", 1, 0, silent_s, 0.9), LoadReport("busy", 6, 0, 0.0, 0.9)]
-        loads.update_totals(told, [])
+        totals = [LoadReport("far", 1, 0, silent_s, 0.9), LoadReport("busy", 6, 0, 0.0, 0.9)]
+        loads.update_totals(totals, [])
         assert _choose(loads, ["far", "busy"]) == chosen
 
     run_virtual(test())
 
 
-def test_byte_that_came_since_others_told_shows_that_a_head_goes_on():
+def test_byte_received_after_the_totals_shows_that_a_head_is_not_stalled():
     async def test():
         loads = LoadTracker(VirtualClock())
         request = loads.start("far")
@@ -63,7 +63,7 @@
     run_virtual(test())
 
 
-def test_heads_that_all_stand_still_are_used_all_the_same():
+def test_stalled_head_is_used_if_there_is_no_other():
     async def test():
         loads = LoadTracker(VirtualClock())
         loads.start("still")
@@ -74,7 +74,9 @@
 
 
 @pytest.mark.parametrize(("running_near", "is_near_chosen"), [(0, True), (3, True), (13, False)])
-def test_head_of_the_own_hall_is_taken_unless_it_is_clearly_slower(running_near, is_near_chosen):
+def test_head_of_the_own_hall_is_preferred_unless_it_is_clearly_slower(
+    running_near, is_near_chosen
+):
     async def test():
         loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(1), "own")
@@ -91,7 +93,7 @@
 
 
 @pytest.mark.parametrize(("running_near", "chosen"), [(0, "near"), (1, "near"), (3, "far")])
-def test_plain_upstream_of_the_own_hall_is_taken_while_it_is_not_busier(running_near, chosen):
+def test_plain_upstream_of_the_own_hall_is_preferred_unless_it_is_busier(running_near, chosen):
     async def test():
         loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(3), "own")
@@ -105,7 +107,7 @@
     run_virtual(test())
 
 
-def test_cold_head_is_left_alone_until_the_others_are_clearly_busier():
+def test_cold_head_is_avoided_until_the_others_are_clearly_busier():
     async def test():
         loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(1))
@@ -126,7 +128,7 @@
 
 
 @pytest.mark.parametrize(("running_warm", "chosen"), [(1, "warm"), (3, "cold")])
-def test_cold_plain_upstream_is_left_alone_until_the_others_are_busier(running_warm, chosen):
+def test_cold_plain_upstream_is_avoided_until_the_others_are_busier(running_warm, chosen):
     async def test():
         loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(3))
