--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -169,7 +169,7 @@
         "LIMIT",
         "an earlier word that comes late changes nothing",
         f"{GATEWAY}/known/limits.py",
-        "if before is not None and before.at >= observation.at:",
+        "if before is not None and before.at >= observed_limit.at:",
         "if False:",
         f"{LIMITS_APART} -k late",
     ),
--- a/mulleinreach/gateway/known/evacuations.py
+++ b/mulleinreach/gateway/known/evacuations.py
@@ -113,9 +113,9 @@
         for row in rows:
             self._versions[row.hall] = row.version
         if revision >= self.revision:
-            ordered = frozenset(hall for hall, version in self._versions.items() if version)
-            self._apply(ordered, revision, evidence_at)
-            self._confirm(ordered)
+            evacuated = frozenset(hall for hall, version in self._versions.items() if version)
+            self._apply(evacuated, revision, evidence_at)
+            self._confirm(evacuated)
 
     def apply_published(self, halls: frozenset[str], revision: int, evidence_at: float) -> bool:
         """Take what the coordinator knows; returns whether this node knows the same now.
--- a/mulleinreach/gateway/known/limits.py
+++ b/mulleinreach/gateway/known/limits.py
@@ -113,20 +113,20 @@
         for limit in limits:
             self._record(limit.upstream_id, _LimitObservation(limit.per_s, asked_at - limit.age_s))
 
-    def _record(self, upstream_id: str, observation: _LimitObservation) -> None:
+    def _record(self, upstream_id: str, observed_limit: _LimitObservation) -> None:
         before = self._observed.get(upstream_id)
-        if before is not None and before.at >= observation.at:
+        if before is not None and before.at >= observed_limit.at:
             return
-        if before is None and math.isinf(observation.per_s):
+        if before is None and math.isinf(observed_limit.per_s):
             return
-        self._observed[upstream_id] = observation
-        if before is None or before.per_s != observation.per_s:
-            self._log.event("upstream_limit", upstream=upstream_id, per_s=observation.per_s)
+        self._observed[upstream_id] = observed_limit
+        if before is None or before.per_s != observed_limit.per_s:
+            self._log.event("upstream_limit", upstream=upstream_id, per_s=observed_limit.per_s)
 
     def limit_per_s(self, upstream_id: str) -> float:
         """Return how many requests a second an upstream takes; infinite without a limit."""
-        observation = self._observed.get(upstream_id)
-        return math.inf if observation is None else observation.per_s
+        observed_limit = self._observed.get(upstream_id)
+        return math.inf if observed_limit is None else observed_limit.per_s
 
     @property
     def has_any(self) -> bool:
@@ -141,9 +141,9 @@
         """Return the limits in force, by upstream."""
         self._drop_expired()
         return {
-            u: observation.per_s
-            for u, observation in self._observed.items()
-            if math.isfinite(observation.per_s)
+            u: observed_limit.per_s
+            for u, observed_limit in self._observed.items()
+            if math.isfinite(observed_limit.per_s)
         }
 
     def known_limits(self) -> tuple[NamedLimit, ...]:
@@ -175,7 +175,7 @@
             u: h for u, h in self._observed.items() if now - h.at < self._kept_s(u, h)
         }
 
-    def _kept_s(self, upstream_id: str, observation: _LimitObservation) -> float:
-        if math.isinf(observation.per_s):
+    def _kept_s(self, upstream_id: str, observed_limit: _LimitObservation) -> float:
+        if math.isinf(observed_limit.per_s):
             return ENDED_LIMIT_KEPT_S
         return math.inf if self._directory.get(upstream_id) is not None else UNLISTED_LIMIT_KEPT_S
--- a/mulleinreach/gateway/known/load.py
+++ b/mulleinreach/gateway/known/load.py
@@ -57,13 +57,13 @@
 
     def __init__(
         self,
-        book: LoadTracker,
+        tracker: LoadTracker,
         upstream_id: str,
         prompt_tokens: int,
         started_at: float,
         stands_back: bool = False,
     ):
-        self._tracker = book
+        self._tracker = tracker
         self.upstream_id = upstream_id
         # What stands back is read when nothing else waits, so nothing waits for it.
         self.pending_tokens = 0 if stands_back else prompt_tokens
@@ -157,12 +157,12 @@
         """
         now = self.now()
         own = self.own_report(upstream_id, now)
-        told = self._others.get(upstream_id)
-        if told is None or not self.has_recent_totals():
+        others = self._others.get(upstream_id)
+        if others is None or not self.has_recent_totals():
             return own.stalled_s
         totals_age_s = now - self._totals_at
-        silent_s = min(own.silent_s, told.silent_s + totals_age_s)
-        oldest_s = max(own.oldest_s, told.oldest_s + totals_age_s)
+        silent_s = min(own.silent_s, others.silent_s + totals_age_s)
+        oldest_s = max(own.oldest_s, others.oldest_s + totals_age_s)
         return min(silent_s, oldest_s)
 
     def update_totals(self, totals: list[LoadReport], own: list[LoadReport]) -> None:
--- a/mulleinreach/gateway/known/permits.py
+++ b/mulleinreach/gateway/known/permits.py
@@ -98,8 +98,8 @@
             held = self._held.setdefault(permits.upstream_id, _HeldPermits(limit, deque()))
             held.limit_per_s = limit
             held.expiries.extend([asked_at + permit_lifetime_s(limit)] * permits.count)
-        received, self._permits_received = self._permits_received, asyncio.Event()
-        received.set()
+        waiters, self._permits_received = self._permits_received, asyncio.Event()
+        waiters.set()
 
     def _drop_expired(self) -> None:
         """Forget upstreams for which no permit is left."""
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -33,11 +33,11 @@
 BOUND = COLD_PER_S * BOUNDS.cold_ratio + BOUNDS.cold_slack
 WORLD = {"nodes": 6, "halls": 3, "domains": 3, "hosts_per_domain": 6, "bounds": BOUNDS}
 # A change of a row reaches all nodes within so many seconds.
-PROPAGATION_S = 0.6
+ROW_PROPAGATION_S = 0.6
 STEP_S = 0.05
 
 
-class ManualClock(Clock):
+class SettableClock(Clock):
     """A clock that stands where a test sets it."""
 
     def __init__(self) -> None:
@@ -131,7 +131,7 @@
 
     def __init__(self, size: int, seed: int):
         self._rng = random.Random(seed)
-        self._clock = ManualClock()
+        self._clock = SettableClock()
         self._numbers = NodeNumbers(self._clock.now())
         self._limits = [ColdRateLimit(BOUNDS, self._clock, EventLog("node")) for _ in range(size)]
         self._connected: set[int] = set()
@@ -175,7 +175,7 @@
 
 
 def test_node_without_a_number_sends_nothing_and_numbers_lapse():
-    clock = ManualClock()
+    clock = SettableClock()
     limit = ColdRateLimit(BOUNDS, clock, EventLog("node"))
     assert not limit.allows("u", COLD_PER_S)
     limit.set_number(3, 3, clock.now())
@@ -218,7 +218,7 @@
         for host in world.fabric.hosts.values():
             if host.upstream.hall == "hall-b":
                 host.turn_cold(COLD_S)
-        await asyncio.sleep(PROPAGATION_S)
+        await asyncio.sleep(ROW_PROPAGATION_S)
         started_at, statuses = world.clock.now(), []
         await send_to_all_nodes(world, 5, statuses)
         arrivals = Arrivals(world)
@@ -241,7 +241,7 @@
         await start_cold_world(world)
         for host in world.fabric.hosts.values():
             host.turn_cold(COLD_S)
-        await asyncio.sleep(PROPAGATION_S)
+        await asyncio.sleep(ROW_PROPAGATION_S)
         started_at, cold, statuses = world.clock.now(), heads_in(world), []
         sending = asyncio.create_task(send_to_all_nodes(world, 9, statuses))
         await asyncio.sleep(2)
@@ -317,7 +317,7 @@
             await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
         for host in world.fabric.hosts.values():
             host.turn_cold(COLD_S)
-        await asyncio.sleep(PROPAGATION_S + RATE_WINDOW_S)
+        await asyncio.sleep(ROW_PROPAGATION_S + RATE_WINDOW_S)
         refused = 0
         for _ in range(12):
             asked_at = world.clock.now()
