--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -21,7 +21,7 @@
         node = world.nodes["node-0"]
         head = node.chooser.heads(MODEL_SERVICE, LARGE)[0]
         for refusals in (1, 2):
-            node.chooser._chosen[head.upstream.id] = head
+            node.chooser._last_chosen[head.upstream.id] = head
             node.chooser.note_misdirected(head.upstream.id)
             ids = [known.upstream.id for known in node.chooser.heads(MODEL_SERVICE, LARGE)]
             assert (head.upstream.id in ids) == (refusals < 2)
