--- a/mulleinreach/gateway/known/choosing.py
+++ b/mulleinreach/gateway/known/choosing.py
@@ -1,4 +1,4 @@
-"""Which upstreams may take a request now."""
+"""Chooses the upstream that a request is sent to."""
 
 from __future__ import annotations
 
@@ -21,69 +21,66 @@
 from mulleinreach.gateway.ports import CallerHeaders
 from mulleinreach.gateway.upstream import Upstream
 
-# Seconds for which an upstream that failed a request is avoided: until its group's members
-# were asked, and a new group stands (0.9 s). Worth 0.009 of a day's worth on a site where
-# hosts hand out spoilt answers (ten days), and nothing measurable on another.
+# Enough to check the members of the upstream's group and to form a new group.
 SUSPECT_DURATION_S = 1.0
-# One refusal may come from a head that opens a moment later than it was told to.
+# A single refusal may come from a head that is about to open.
 MISDIRECTED_THRESHOLD = 2
 MAX_REPORT_AGE_S = 1.0
 
 
 class SuspectList:
-    """Upstreams that failed a request lately; each is avoided for a while."""
+    """Upstreams that recently failed a request and are avoided for a short time."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
         self._until: dict[str, float] = {}
 
     def add(self, upstream_id: str) -> None:
-        """Avoid an upstream for a while."""
+        """Avoid an upstream for ``SUSPECT_DURATION_S``."""
         self._until[upstream_id] = self._clock.now() + SUSPECT_DURATION_S
 
     def current(self) -> set[str]:
-        """Return the upstreams to avoid now."""
+        """Return the ids of the upstreams to avoid now."""
         now = self._clock.now()
         self._until = {u: until for u, until in self._until.items() if until > now}
         return set(self._until)
 
 
 class MisdirectedHeads:
-    """Heads that say again and again that requests don't belong to them.
+    """Heads that repeatedly refuse requests as misdirected.
 
     Explanation
     ===========
 
-    Such a head has left the group that it is thought to head. It gets nothing more
-    until it is known to be open under another epoch, as each group that is formed
-    anew has one of its own.
+    Such a head has left the group that the router sends to. It gets no requests until it is open
+    under another epoch, which each new group has.
     """
 
     def __init__(self) -> None:
         self._refusals: dict[str, tuple[int, int]] = {}
 
     def note(self, upstream_id: str, epoch: int) -> None:
-        """Note that a head refused a request as not meant for it."""
+        """Count a refusal of a head under an epoch."""
         known_epoch, count = self._refusals.get(upstream_id, (epoch, 0))
         self._refusals[upstream_id] = (epoch, count + 1 if epoch == known_epoch else 1)
 
     def is_closed(self, head: Head) -> bool:
-        """Whether a head has refused so often that it can't be open under its epoch."""
+        """Whether a head has refused too often to be still open under its epoch."""
         epoch, count = self._refusals.get(head.upstream.id, (head.epoch, 0))
         return epoch == head.epoch and count >= MISDIRECTED_THRESHOLD
 
 
 @dataclass(frozen=True)
 class ExclusionSummary:
-    """Why a request finds no upstream.
+    """Why no upstream is available for a request.
 
     Parameters
     ==========
 
-    listed : how many upstreams are listed that serve the request's model or service.
-    tried : how many of them the request was sent to already.
-    excluded : how many of them may not be sent the request, by the reason.
-    evacuated_halls : the halls that are to be empty.
+    listed : number of listed upstreams that serve the request's model or service.
+    tried : number of those to which the request was already sent.
+    excluded : number of those that may not be sent the request, by reason.
+    evacuated_halls : all evacuated halls.
     """
 
     listed: int
@@ -94,7 +91,7 @@
 
 @dataclass(frozen=True)
 class PermitWait:
-    """What came of a request's wait for a permit."""
+    """The result of a request's wait for a permit."""
 
     upstream_id: str
     is_granted: bool
@@ -125,23 +122,23 @@
         self._retiring: frozenset[str] = frozenset()
         self._reported_at = float("-inf")
         self._misdirected = MisdirectedHeads()
-        # Each head as it was chosen last, by its upstream's id.
+        # The state of each head when it was last selected, by upstream id.
         self._last_chosen: dict[str, Head] = {}
 
     def set_coordinator_heads(self, heads: list[Head], retiring: frozenset[str]) -> None:
-        """Take the heads that the coordinator sees open, ahead of this node's own list.
+        """Set the open heads that the coordinator reports, which it learns of before this node.
 
         Parameters
         ==========
 
-        retiring : ids of heads that finish their work and take nothing new.
+        retiring : ids of heads that finish their requests and accept no new ones.
         """
         self._coordinator_heads = heads
         self._retiring = retiring
         self._reported_at = self._clock.now()
 
     def coordinator_heads(self) -> list[Head]:
-        """Return the heads that the coordinator told lately; older word counts no more."""
+        """Return the open heads in the coordinator's latest report; none if it is outdated."""
         return self._coordinator_heads if self._has_recent_report() else []
 
     def count_cold_heads(self, services: Iterable[Service]) -> int:
@@ -163,13 +160,14 @@
         avoided_halls: Collection[str] = (),
         respects_limits: bool = True,
     ) -> Upstream | None:
-        """Return the best upstream that wasn't tried yet.
+        """Return the best upstream that wasn't tried yet, ``None`` if there is none.
 
         Parameters
         ==========
 
-        avoided_halls : halls whose upstreams are taken only if there are no others.
-        respects_limits : ``False`` to learn where the request would go if no upstream had a limit.
+        tried : ids of upstreams to which the request was already sent.
+        avoided_halls : halls whose upstreams are used only if there are no others.
+        respects_limits : ``False`` to ignore the rate limits of upstreams.
         """
         service = constraints.service
         suspects = self._suspects.current()
@@ -193,10 +191,10 @@
     async def wait_for_permit(
         self, constraints: RequestConstraints, headers: CallerHeaders
     ) -> PermitWait | None:
-        """Ask for a permit if a request would go to an upstream with a limit.
+        """Request a permit if the best upstream for a request has a rate limit.
 
-        It waits for one if nothing but limits keeps it away from all upstreams; returns what
-        came of that, ``None`` if it didn't wait.
+        Waits for the permit only if limits exclude all other upstreams too. Returns the result of
+        the wait, ``None`` if there was none.
         """
         if not self._permits.limits.has_any:
             return None
@@ -217,9 +215,9 @@
         return PermitWait(preferred.id, is_granted, self._clock.now() - began_at)
 
     def predicted_wait_s(self, constraints: RequestConstraints, upstream_id: str) -> float:
-        """Return how long a request is predicted to wait for others at a head that was chosen.
+        """Return the predicted delay in seconds that requests ahead at a selected head cause.
 
-        That is 0 at an upstream of a plain service, whose work nothing predicts.
+        It is 0 for an upstream of a plain service, for which there is no prediction.
         """
         head, engine = self._last_chosen.get(upstream_id), constraints.service.engine
         if head is None or engine is None:
@@ -229,7 +227,7 @@
     def exclusion_summary(
         self, constraints: RequestConstraints, headers: CallerHeaders, tried: set[str]
     ) -> ExclusionSummary:
-        """Return why :meth:`choose` finds nothing for a request."""
+        """Return why :meth:`choose` finds no upstream for a request."""
         listed = self._listed(constraints, headers)
         return ExclusionSummary(
             len(listed),
@@ -241,7 +239,8 @@
     def rest(self, constraints: RequestConstraints, headers: CallerHeaders) -> Rest | None:
         """Return the rest that ends first among the upstreams that could serve a request.
 
-        ``None`` if none of them rests, or if another one may serve it now.
+        A rest is a time for which an upstream accepts no requests. ``None`` if no upstream rests,
+        or if another one may be sent the request now.
         """
         if self.choose(constraints, headers, set()) is not None:
             return None
@@ -250,18 +249,18 @@
         return min(resting, key=lambda rest: rest.remaining_s, default=None)
 
     def _listed(self, constraints: RequestConstraints, headers: CallerHeaders) -> list[Upstream]:
-        """Return the upstreams that serve a request's model or service, whether it may go there."""
+        """Return all upstreams that serve a request's model or service, excluded ones too."""
         listed = self._directory.of_service(constraints.service.name)
         if constraints.service.engine is None:
             return listed
         return [u for u in listed if serves_model(u, headers.model)]
 
     def is_evacuated(self, upstream: Upstream) -> bool:
-        """Whether an upstream stands in a hall that is to be empty."""
+        """Whether an upstream is in an evacuated hall."""
         return upstream.hall in self._eligibility.evacuated_halls
 
     def note_misdirected(self, upstream_id: str) -> None:
-        """Note that a head refused a request as not meant for it."""
+        """Note that a head refused a request as misdirected."""
         if upstream_id in self._last_chosen:
             self._misdirected.note(upstream_id, self._last_chosen[upstream_id].epoch)
 
@@ -279,11 +278,11 @@
         return [head for head in heads if head.upstream.id in ids]
 
     def heads(self, service: str, model: str | None) -> list[Head]:
-        """Return the heads that serve a model."""
+        """Return the open heads that serve a model, or those of all models for ``None``."""
         usable = self._usable(service)
         heads = {head.upstream.id: head for head in open_heads(usable)}
         usable_ids = {u.id for u in usable}
-        # The coordinator knows of a head's pace, and of its opening before others do.
+        # The coordinator's report includes a head's slowdown factor, and newly opened heads.
         heads |= {h.upstream.id: h for h in self.coordinator_heads() if h.upstream.id in usable_ids}
         retiring = self._retiring if self._has_recent_report() else frozenset()
         return [
--- a/mulleinreach/gateway/known/cold.py
+++ b/mulleinreach/gateway/known/cold.py
@@ -1,12 +1,9 @@
-"""Which upstreams are cold, and how many requests this node may send to each of them.
+"""Limits the rate of requests to cold upstreams.
 
-Explanation
-===========
-
-A cold upstream bears only some requests a second, from all nodes together. Half of that is
-divided among the nodes by their numbers, which the coordinator gives out. At a change of the
-numbers some nodes still go by the earlier ones; both halves together stay within the bound.
-Numbers lapse, and change so seldom, that no third set of them counts in the same second.
+An upstream is cold for some time after its start, while its cache is empty, and can handle only a
+limited rate of requests from all nodes together. The coordinator assigns a number to each node,
+from which the node computes its quota. After a change of numbers two sets may be valid at once, so
+each set distributes half of the rate.
 """
 
 from __future__ import annotations
@@ -24,25 +21,24 @@
 from mulleinreach.gateway.model import Service
 from mulleinreach.gateway.upstream import Upstream
 
-# Seconds over which requests to a cold upstream are counted: its rate is one a second.
+# Rates are in requests per second, so requests are counted over one second.
 RATE_WINDOW_S = 1.0
-# Seconds for which a number counts after the word of the coordinator: long enough for it to
-# find out that the store is away for all nodes (2 s), when nobody can take its place.
+# Longer than the coordinator needs to detect that no node can reach the store.
 NUMBER_VALID_S = 2.5
-# The part of an upstream's rate that one set of numbers gives out; two may count at once.
+# Share of an upstream's rate that one set of numbers distributes; two sets may be valid at once.
 RATE_SHARE_PER_NUMBERING = 0.5
 
 
 @dataclass(frozen=True)
 class NodeNumber:
-    """A node's number in a set of numbers.
+    """A node's number in a set of numbers that the coordinator assigned.
 
     Parameters
     ==========
 
     number : counted from 0.
-    numbers : how many numbers the set has.
-    as_of : when the coordinator's word on it was asked for.
+    numbers : the size of the set.
+    as_of : when this node asked for the coordinator's report with the number.
     """
 
     number: int
@@ -59,16 +55,17 @@
 
 
 def quota(upstream_id: str, rate: float, number: int, numbers: int) -> int:
-    """Return how many requests a second one node may send, so that all together keep a rate.
+    """Return one node's quota of a rate that all nodes share, in requests per second.
 
-    Above one request a second for each node all get the same. Below that, a few nodes get one
-    each; which ones they are differs from upstream to upstream.
+    All nodes get the same quota if it is at least one request per second. Otherwise some nodes
+    get one request per second each; which nodes these are depends on the upstream.
 
     Parameters
     ==========
 
-    rate : the requests a second of all nodes together.
+    rate : requests per second of all nodes together.
     number : the node's number, below ``numbers``.
+    numbers : how many nodes share the rate.
 
     Examples
     ========
@@ -85,7 +82,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def _chosen_numbers(upstream_id: str, numbers: int, count: int) -> frozenset[int]:
-    """Return the numbers that rendezvous hashing of an upstream ranks first."""
+    """Return the numbers that rendezvous hashing ranks first for an upstream."""
 
     def rank(number: int) -> bytes:
         return hashlib.blake2b(f"{upstream_id}/{number}".encode(), digest_size=8).digest()
@@ -94,7 +91,7 @@
 
 
 class ColdRateLimit:
-    """This node's part of the requests that cold upstreams may get.
+    """This node's share of the rate at which requests may be sent to cold upstreams.
 
     Examples
     ========
@@ -113,12 +110,12 @@
         self._sent: Counter[str] = Counter()
 
     def set_number(self, number: int, numbers: int, as_of: float) -> None:
-        """Take this node's number; one that is not below ``numbers`` means that it has none.
+        """Set this node's number; one that is not below ``numbers`` means that it has none.
 
         Parameters
         ==========
 
-        as_of : a moment before which the coordinator's word can't have been given.
+        as_of : when this node asked for the report, which is no later than its creation.
         """
         if number >= numbers:
             return
@@ -127,7 +124,7 @@
             self._log.event("node_numbered", number=number, numbers=numbers)
 
     def allows(self, upstream_id: str, rate_per_s: float) -> bool:
-        """Whether one more request may be sent now to a cold upstream that bears a rate."""
+        """Whether one more request may be sent now to a cold upstream with a given rate limit."""
         known = self._number
         if known is None:
             return False
@@ -155,12 +152,12 @@
 
 
 class ColdUpstreams:
-    """The upstreams that are cold, by their rows and by the halls that were taken back.
+    """Determines which upstreams are cold, by their rows and by recently ended evacuations.
 
     Parameters
     ==========
 
-    limit : how many requests this node may send to each of them.
+    limit : bounds the requests that this node sends to each of them.
     """
 
     def __init__(
@@ -176,7 +173,7 @@
         self.limit = limit
 
     def ids(self, upstreams: Collection[Upstream], service: Service) -> frozenset[str]:
-        """Return the ids of those upstreams of a service that are cold, as far as is known."""
+        """Return the ids of those upstreams of a service that are known to be cold."""
         listed = self._directory.cold_ids(self._clock.now())
         halls = self._halls_taken_back({upstream.hall for upstream in upstreams}, service)
         if not listed and not halls:
@@ -184,17 +181,17 @@
         return frozenset(u.id for u in upstreams if u.id in listed or u.hall in halls)
 
     def _halls_taken_back(self, halls: set[str], service: Service) -> set[str]:
-        """Return the halls whose upstreams may have gone cold while they were evacuated."""
+        """Return the halls whose upstreams may have become cold while they were evacuated."""
         return {h for h in halls if self._evacuations.since_taken_back_s(h) < service.cold_s}
 
     def withheld(self, upstreams: Collection[Upstream], service: Service) -> frozenset[str]:
-        """Return the ids of those upstreams that are cold and may get no request from here now."""
+        """Return the ids of cold upstreams to which this node may send no request now."""
         if not service.cold_per_s:
             return frozenset()
         cold = self.ids(upstreams, service)
         return frozenset(u for u in cold if not self.limit.allows(u, service.cold_per_s))
 
     def note_sent(self, upstream: Upstream, service: Service) -> None:
-        """Count a request that is about to be sent; a host that is warm may be cold soon."""
+        """Count a request that is about to be sent, since any upstream may become cold."""
         if service.cold_per_s:
             self.limit.note_sent(upstream.id)
--- a/mulleinreach/gateway/known/counted.py
+++ b/mulleinreach/gateway/known/counted.py
@@ -1,4 +1,4 @@
-"""Ports that count and space their calls to the store, and a log that counts events."""
+"""Wrappers that count calls to the store and back off after failures, and count log events."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CountedSource:
-    """A source of the configuration or of the list of upstreams, its calls counted and spaced."""
+    """Counts calls of a source of the configuration or of upstreams; backs off after failures."""
 
     def __init__(self, source, name: str, calls: StoreCalls):
         self._source = source
@@ -31,12 +31,12 @@
         return result
 
     def decode(self, document: bytes):
-        """Decode what another node has read, which is no call."""
+        """Decode a document that another node has read; this makes no call."""
         return self._source.decode(document)
 
 
 class CountedLease:
-    """The lease's row, with its calls counted; writes, which have their own pace, aren't spaced."""
+    """Counts calls for the lease's row; only reads back off, as the lease times its own writes."""
 
     def __init__(self, store: LeaseStore, calls: StoreCalls):
         self._store = store
@@ -50,14 +50,14 @@
         return result
 
     async def write(self, version: int, record: LeaseRecord, unchanged: OperatorRows | None = None):
-        """Write the row under a condition."""
+        """Write the row if it and the operators' rows in ``unchanged`` haven't changed."""
         result = await self._store.write(version, record, unchanged)
         self._calls.count("lease_write", result)
         return result
 
 
 class CountedEventLog(BoundedEventLog):
-    """Counts events by their names, those too that are left out of the log."""
+    """Counts events by name, including those that the bound keeps out of the log."""
 
     def __init__(self, node: str, clock: Clock, metrics: GatewayMetrics):
         super().__init__(node, clock)
--- a/mulleinreach/gateway/known/eligibility.py
+++ b/mulleinreach/gateway/known/eligibility.py
@@ -1,4 +1,4 @@
-"""Decides which upstreams a request may be sent to: the one place where that stands."""
+"""Decides which upstreams a request may be sent to; all such rules are applied here."""
 
 from __future__ import annotations
 
@@ -20,23 +20,31 @@
 class Exclusion(enum.StrEnum):
     """Why an upstream may not be sent a request."""
 
+    # The upstream is shutting down.
     LEAVING = "leaving"
+    # The coordinator found that it, or its hall, does not respond.
     LOST = "lost"
+    # Operators have evacuated its hall.
     EVACUATED = "evacuated"
+    # Its hall is outside the regions to which the request is restricted.
     ABROAD = "abroad"
+    # It recently started with an empty cache, and this node's quota for it is used up.
     COLD = "cold"
+    # It has asked this node to send no requests for a while.
     RESTING = "resting"
+    # It has a rate limit, and this node holds no permit for it.
     LIMITED = "limited"
 
 
 @dataclass(frozen=True)
 class RequestConstraints:
-    """What decides on upstreams for one request besides the upstreams themselves.
+    """The constraints of one request on its upstream.
 
     Parameters
     ==========
 
-    homes : the regions whose upstreams may serve it; ``None`` if any may.
+    service : the service that must serve it.
+    homes : the regions whose upstreams may serve it; ``None`` for any region.
     """
 
     service: Service
@@ -44,13 +52,14 @@
 
 
 class Eligibility:
-    """What keeps requests from upstreams, whatever the choice among the others.
+    """Excludes upstreams that a request may not be sent to.
 
     Parameters
     ==========
 
-    regions : the region of each hall; upstreams in other halls serve no request with homes.
-    lost : ids that the coordinator found to be lost.
+    regions : the region of each hall; upstreams in halls without one serve no request that is
+        restricted to regions.
+    lost : ids of upstreams that don't respond, as the coordinator found.
     """
 
     def __init__(
@@ -73,9 +82,10 @@
         self.lost: frozenset[str] = frozenset()
 
     def usable(self, upstreams: list[Upstream]) -> list[Upstream]:
-        """Return the upstreams that requests may be sent to, whatever their terms.
+        """Return the upstreams that requests may be sent to, regardless of their constraints.
 
-        Whether a hall that is being emptied takes part is drawn anew at each call, by its share.
+        An evacuated hall whose traffic is still being reduced is included at random at each call,
+        with the probability of its remaining share.
         """
         closed = self._draw_closed_halls()
         return [u for u in upstreams if self._exclusion(u, closed) is None]
@@ -83,12 +93,12 @@
     def permitted(
         self, usable: list[Upstream], constraints: RequestConstraints, respects_limits: bool = True
     ) -> list[Upstream]:
-        """Return those usable upstreams that a request may be sent to under its terms.
+        """Return those usable upstreams that a request may be sent to under its constraints.
 
         Parameters
         ==========
 
-        respects_limits : ``False`` to learn where requests would go if no upstream had a limit.
+        respects_limits : ``False`` to ignore the rate limits of upstreams.
         """
         withheld = self._cold.withheld(usable, constraints.service)
         if withheld:
@@ -98,13 +108,13 @@
         ]
         if not (respects_limits and self._permits.limits.has_any):
             return permitted
-        # A limit bounds what all nodes send together, of which this node knows its own part only.
+        # A limit applies to all nodes together, so a node needs a permit from the coordinator.
         return [u for u in permitted if self._permits.may_send(u.id)]
 
     def count_excluded(
         self, upstreams: Collection[Upstream], constraints: RequestConstraints
     ) -> Counter[Exclusion]:
-        """Return how many upstreams may not be sent a request, by the reason."""
+        """Return how many upstreams may not be sent a request, by reason."""
         closed = self._draw_closed_halls()
         withheld = self._cold.withheld(upstreams, constraints.service)
         reasons = (
@@ -116,15 +126,15 @@
         return Counter(reason for reason in reasons if reason is not None)
 
     def rest(self, upstream: Upstream) -> Rest | None:
-        """Return for how long an upstream's own word keeps requests away, ``None`` if it doesn't.
+        """Return for how long an upstream accepts no request from this node, ``None`` if it does.
 
-        That is a rest that it has asked this node for, or the time of the next permits.
+        The upstream asked this node for a rest, or its rate limit allows no request now.
         """
         return self._notices.rest(upstream.id) or self._permits.rest(upstream.id)
 
     @property
     def evacuated_halls(self) -> frozenset[str]:
-        """The halls that are to be empty."""
+        """The evacuated halls."""
         return self._evacuations.halls
 
     def _exclusion(self, upstream: Upstream, closed: frozenset[str]) -> Exclusion | None:
@@ -151,7 +161,7 @@
         return None
 
     def _draw_closed_halls(self) -> frozenset[str]:
-        """Draw which evacuated halls are left out this time, each by the share that it lost."""
+        """Choose at random which evacuated halls to exclude, by the share of traffic they lost."""
         return frozenset(
             hall
             for hall in self._evacuations.halls
--- a/mulleinreach/gateway/known/evacuations.py
+++ b/mulleinreach/gateway/known/evacuations.py
@@ -1,20 +1,9 @@
-"""The halls that operators have asked to empty.
+"""Tracks evacuated halls: halls to which operators have ordered that no requests be sent.
 
-Explanation
-===========
-
-An operator's request stands as a row beside the configuration, and is read, proved and
-passed on with it. So what is known of halls is as old as what is known of the
-configuration: the evidence of the one is that of the other.
-
-Nothing may be sent to a hall once the deployment's bound is over, which runs from the
-moment at which the store took the request. A node doesn't know that moment, only the
-latest one at which there was no request yet, and counts from that. Until half of the
-bound is over, the hall's share of the requests falls to nothing instead of at once:
-its places are missed less suddenly by those that have to take its work.
-
-A store that was restored may lack a request that operators have made; they write it again. Until
-they have had the time for that, a hall that was to be empty stays so.
+Evacuation orders are stored beside the configuration, so evidence that the configuration is
+current covers them too. After an order the hall's share of traffic falls to 0 within half of the
+deployment's bound. A node counts the bound from the latest time at which the hall was known to have
+no order.
 """
 
 from __future__ import annotations
@@ -26,26 +15,25 @@
 from mulleinreach.gateway.ports import EvacuationRow
 from mulleinreach.gateway.revision import era_of
 
-# The part of the bound in which a hall's share of the requests falls to nothing. The rest
-# is for requests on their way and for nodes that hear of it late.
+# Fraction of the bound; the rest is a margin for nodes that receive the order late.
 RAMP_DOWN_FRACTION = 0.5
-# For so long a request holds that a restored store lacks.
+# How long an order that a restored store lacks stays in force.
 UNCONFIRMED_KEPT_S = 3.0
 NEVER = float("-inf")
 
 
 @dataclass
 class _Evacuation:
-    """A hall that is being emptied.
+    """The evacuation of one hall.
 
     Parameters
     ==========
 
-    known_at : when this node heard of the request; the hall's share falls from then on.
-    closed_at : from when on the hall gets nothing.
-    is_closure_logged : whether the log tells that it gets nothing more.
-    unconfirmed_until : until when the request holds though the store lacks it; ``None`` if it
-        stands there.
+    known_at : when this node received the order; the hall's share of traffic falls from then on.
+    closed_at : when that share reaches 0.
+    is_closure_logged : whether the log event for that has been written.
+    unconfirmed_until : until when an order that a restored store lacks stays in force; ``None``
+        if the store has it.
     """
 
     known_at: float
@@ -55,12 +43,12 @@
 
 
 class Evacuations:
-    """What this node knows of halls that operators have asked to empty.
+    """The evacuation orders that this node knows.
 
     Parameters
     ==========
 
-    bound_s : how soon after a request nothing more may be sent to the hall.
+    bound_s : seconds after an order from which on no request may be sent to the hall.
     halls : the halls of the deployment.
 
     Examples
@@ -82,31 +70,31 @@
         self._versions: dict[str, int] = {}
         self._evacuated: dict[str, _Evacuation] = {}
         self._taken_back_at: dict[str, float] = {}
-        # The store's revision up to which the halls are known.
+        # The store's revision of the known orders.
         self.revision = 0
 
     @property
     def halls(self) -> frozenset[str]:
-        """The halls that are to be empty."""
+        """The evacuated halls."""
         self._end_unconfirmed()
         return frozenset(self._evacuated)
 
     def rows(self) -> tuple[EvacuationRow, ...]:
-        """Return the rows of all halls, as this node has read them itself."""
+        """Return the rows of all halls that this node has read from the store."""
         names = sorted(self._configured | self._versions.keys())
         return tuple(EvacuationRow(hall, self._versions.get(hall, 0)) for hall in names)
 
     def apply_rows(
         self, rows: Iterable[EvacuationRow], is_complete: bool, revision: int, evidence_at: float
     ) -> None:
-        """Take what this node has read.
+        """Apply rows that this node has read from the store.
 
         Parameters
         ==========
 
-        is_complete : whether halls that aren't named have no request.
-        revision : the store's revision that was read; the rows of an earlier one change nothing.
-        evidence_at : the latest moment that what was known so far is proved for.
+        is_complete : whether ``rows`` includes every hall with an order.
+        revision : the store's revision that was read; rows of an earlier one are ignored.
+        evidence_at : the latest time at which the state known so far is proved to be current.
         """
         if is_complete:
             self._versions.clear()
@@ -118,16 +106,16 @@
             self._confirm(evacuated)
 
     def apply_published(self, halls: frozenset[str], revision: int, evidence_at: float) -> bool:
-        """Take what the coordinator knows; returns whether this node knows the same now.
+        """Apply what the coordinator published; returns whether this node now agrees with it.
 
         Parameters
         ==========
 
-        halls : all halls that are to be empty, as of ``revision`` of the store.
-        evidence_at : the latest moment that what was known so far is proved for.
+        halls : all evacuated halls, as of ``revision`` of the store.
+        evidence_at : the latest time at which the state known so far is proved to be current.
         """
         if revision >= self.revision:
-            # A coordinator is told its own word too, which confirms nothing.
+            # A coordinator also receives its own report, which confirms nothing.
             is_newer = revision > self.revision
             self._apply(halls, revision, evidence_at)
             if is_newer:
@@ -145,18 +133,18 @@
                 self._end(hall)
 
     def _confirm(self, halls: frozenset[str]) -> None:
-        """Note that the store has the requests of these halls."""
+        """Note that the store has the orders for these halls."""
         for hall in halls:
             self._evacuated[hall].unconfirmed_until = None
 
     def _mark_unconfirmed(self, halls: frozenset[str]) -> None:
-        """Keep requests for a while that a restored store lacks."""
+        """Keep orders that a restored store lacks in force, until operators can rewrite them."""
         for hall in sorted(halls):
             self._evacuated[hall].unconfirmed_until = self._clock.now() + UNCONFIRMED_KEPT_S
             self._log.event("evacuation_unconfirmed", hall=hall, holds_for_s=UNCONFIRMED_KEPT_S)
 
     def _end_unconfirmed(self) -> None:
-        """End requests that nobody has written again."""
+        """End unconfirmed evacuations whose order was not written again in time."""
         for hall, evacuation in list(self._evacuated.items()):
             until = evacuation.unconfirmed_until
             if until is not None and self._clock.now() >= until:
@@ -165,7 +153,7 @@
     def _begin(self, hall: str, evidence_at: float) -> None:
         now = self._clock.now()
         if hall not in self._configured:
-            # Renewals of the lease prove nothing about a hall that they don't name.
+            # The evidence, renewals of the lease, covers only the halls of the deployment.
             evidence_at = NEVER
         closed_at = max(now, evidence_at + RAMP_DOWN_FRACTION * self._bound_s)
         self._evacuated[hall] = _Evacuation(now, closed_at)
@@ -185,7 +173,7 @@
         self._log.event("hall_taken_back", hall=hall, evacuated_for_s=lasted_s)
 
     def share(self, hall: str) -> float:
-        """Return which part of its usual requests a hall should get now."""
+        """Return the fraction of its usual requests that a hall should get now, from 0 to 1."""
         self._end_unconfirmed()
         evacuation = self._evacuated.get(hall)
         if evacuation is None:
@@ -200,5 +188,5 @@
         return 0.0
 
     def since_taken_back_s(self, hall: str) -> float:
-        """Return how long ago a hall was taken back; infinite if it never was."""
+        """Return the seconds since operators took a hall back; infinite if they never did."""
         return self._clock.now() - self._taken_back_at.get(hall, NEVER)
--- a/mulleinreach/gateway/known/limits.py
+++ b/mulleinreach/gateway/known/limits.py
@@ -1,4 +1,4 @@
-"""How many requests a second upstreams in need take from all nodes together."""
+"""Tracks the rate limits that upstreams announce for the requests of all nodes together."""
 
 from __future__ import annotations
 
@@ -9,24 +9,21 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 
-# Seconds for which it is told that a limit has ended: longer than a node goes without a
-# coordinator that tells it.
+# Longer than a node goes without a coordinator, so that all nodes learn that the limit ended.
 ENDED_LIMIT_KEPT_S = 5.0
-# Seconds for which the limit of an upstream that is on no list is kept: an outage of the store
-# may take its row away for a while.
+# A store outage may remove the row of a running upstream for a while.
 UNLISTED_LIMIT_KEPT_S = 60.0
 
-# An upstream that takes nothing is sent a request now and then: its answer tells when that ends.
+# An upstream with a limit of 0 is still probed: its answers show when the limit ends.
 MIN_SEND_RATE_PER_S = 0.2
-# Seconds for which a permit counts. A shorter time loses permits of nodes with few requests; with
-# a longer one more of them may be spent in one moment.
+# A short lifetime wastes permits of nodes with little traffic; a long one allows bursts.
 MIN_PERMIT_LIFETIME_S, MAX_PERMIT_LIFETIME_S = 1.0, 4.0
-# Within these bounds a permit counts until the limit has allowed so many more.
+# Permits per upstream that may be valid at once, within the bounds of their lifetime.
 OUTSTANDING_PERMITS = 3.0
 
 
 def send_rate_per_s(limit_per_s: float) -> float:
-    """Return how many requests a second to send under a limit.
+    """Return the rate at which requests may be sent under a limit, in requests per second.
 
     Examples
     ========
@@ -38,7 +35,7 @@
 
 
 def permit_lifetime_s(limit_per_s: float) -> float:
-    """Return for how long a permit counts.
+    """Return how long a permit is valid under a limit, in seconds.
 
     Examples
     ========
@@ -52,13 +49,13 @@
 
 @dataclass(frozen=True)
 class NamedLimit:
-    """What an upstream named last, as far as its teller knows.
+    """The latest limit of an upstream that a node or the coordinator knows.
 
     Parameters
     ==========
 
-    per_s : requests a second from all nodes together; infinite if it names no limit any more.
-    age_s : how long ago the answer came.
+    per_s : requests per second from all nodes together; infinite if the limit has ended.
+    age_s : seconds since the answer that announced it.
     """
 
     upstream_id: str
@@ -73,41 +70,41 @@
 
 
 class LimitTracker:
-    """Keeps the newest word on each upstream's limit, of its own answers and of other nodes."""
+    """Keeps the newest limit of each upstream, from this node's answers and from other nodes."""
 
     def __init__(self, directory: UpstreamDirectory, clock: Clock, log: EventLog):
         self._directory = directory
         self._clock = clock
         self._log = log
-        # By the id of a start: a later one has named nothing.
+        # By upstream id, which a restart changes: a restarted upstream has no limit yet.
         self._observed: dict[str, _LimitObservation] = {}
-        # What the coordinator told last.
+        # The limits in the coordinator's latest report.
         self._published: dict[str, float] = {}
 
     def record_answer(self, upstream_id: str, per_s: float) -> None:
-        """Take what an answer says of the requests that its upstream takes a second.
+        """Record the limit that an upstream's answer to this node announces.
 
         Parameters
         ==========
 
-        per_s : infinite if it names no limit.
+        per_s : requests per second; infinite if the answer announces no limit.
         """
         if self._observed or math.isfinite(per_s):
             self._record(upstream_id, _LimitObservation(per_s, self._clock.now()))
 
     def merge_reported(self, limits: Iterable[NamedLimit]) -> None:
-        """Take what another node knows."""
+        """Merge the limits that another node reports."""
         now = self._clock.now()
         for limit in limits:
             self._record(limit.upstream_id, _LimitObservation(limit.per_s, now - limit.age_s))
 
     def merge_published(self, limits: Iterable[NamedLimit], asked_at: float) -> None:
-        """Take all that the coordinator knows.
+        """Merge all limits that the coordinator publishes.
 
         Parameters
         ==========
 
-        asked_at : a moment before which that can't have been told.
+        asked_at : when this node asked for the report, which is no later than its creation.
         """
         self._published = {limit.upstream_id: limit.per_s for limit in limits}
         for limit in limits:
@@ -124,21 +121,21 @@
             self._log.event("upstream_limit", upstream=upstream_id, per_s=observed_limit.per_s)
 
     def limit_per_s(self, upstream_id: str) -> float:
-        """Return how many requests a second an upstream takes; infinite without a limit."""
+        """Return the limit of an upstream in requests per second; infinite if it has none."""
         observed_limit = self._observed.get(upstream_id)
         return math.inf if observed_limit is None else observed_limit.per_s
 
     @property
     def has_any(self) -> bool:
-        """Whether any upstream has a limit, or had one lately."""
+        """Whether any upstream has a limit or recently had one."""
         return bool(self._observed)
 
     def is_limited(self, upstream_id: str) -> bool:
-        """Whether an upstream bounds the requests that it takes."""
+        """Whether an upstream has a limit."""
         return math.isfinite(self.limit_per_s(upstream_id))
 
     def limits(self) -> dict[str, float]:
-        """Return the limits in force, by upstream."""
+        """Return the limits in force, in requests per second by upstream id."""
         self._drop_expired()
         return {
             u: observed_limit.per_s
@@ -147,18 +144,18 @@
         }
 
     def known_limits(self) -> tuple[NamedLimit, ...]:
-        """Return what this node knows, limits that ended lately included."""
+        """Return the limits that this node knows, including those that ended recently."""
         self._drop_expired()
         now = self._clock.now()
         return tuple(NamedLimit(u, h.per_s, now - h.at) for u, h in sorted(self._observed.items()))
 
     def unpublished(self, includes_published: bool) -> tuple[NamedLimit, ...]:
-        """Return what the coordinator should know and hasn't told.
+        """Return the limits to report to the coordinator.
 
         Parameters
         ==========
 
-        includes_published : whether the coordinator is another one than told it.
+        includes_published : whether to return published limits too, for a new coordinator.
         """
         if not self._observed:
             return ()
@@ -169,7 +166,7 @@
         )
 
     def _drop_expired(self) -> None:
-        """Forget limits that ended, and those of upstreams that are gone."""
+        """Remove ended limits and those of unlisted upstreams once they are too old."""
         now = self._clock.now()
         self._observed = {
             u: h for u, h in self._observed.items() if now - h.at < self._kept_s(u, h)
--- a/mulleinreach/gateway/known/load.py
+++ b/mulleinreach/gateway/known/load.py
@@ -1,4 +1,4 @@
-"""What runs at each upstream: our own requests exactly, those of other nodes as told."""
+"""Tracks the load of each upstream: this node's requests, and totals of all nodes."""
 
 from __future__ import annotations
 
@@ -6,28 +6,26 @@
 
 from mulleinreach.common import Clock
 
-# For so long a report names an upstream that gave bytes and has no request in flight any more.
+# A report includes an idle upstream for this long after its last progress.
 PROGRESS_KEPT_S = 0.6
-# The silence of an upstream that has given no byte yet: so long that the age of its oldest
-# request alone tells for how long it has stood still.
+# Silence of an upstream without any progress yet: longer than the age of any request.
 NO_PROGRESS_SILENT_S = 1000.0
-# What other nodes had in flight is passed on each tenth of a second; older word than this
-# says little.
+# Older totals of other nodes are ignored; the coordinator normally sends them every 0.1 s.
 MAX_TOTALS_AGE_S = 1.0
 
 
 @dataclass(frozen=True)
 class LoadReport:
-    """The load that one node, or all nodes together, put on an upstream.
+    """The load of an upstream from one node, or from all nodes together.
 
     Parameters
     ==========
 
     running : requests in flight.
-    pending_tokens : prompt tokens of requests that have had no event yet and don't stand back.
-    silent_s : time since the upstream last gave a byte of any answer.
-    oldest_s : age of the oldest request in flight; 0 without one.
-    standing_back : requests that have had no event yet and let others go first.
+    pending_tokens : prompt tokens of requests without an event yet, except low-priority ones.
+    silent_s : seconds since the upstream last sent a byte of any answer.
+    oldest_s : age in seconds of the oldest request in flight; 0 without one.
+    standing_back : requests without an event yet that were sent at the lowest priority.
     """
 
     upstream_id: str
@@ -39,10 +37,7 @@
 
     @property
     def stalled_s(self) -> float:
-        """For how long requests have waited there without a byte for any of them.
-
-        A request that has just begun must not hide that others stand still.
-        """
+        """Seconds for which the upstream has had requests in flight and sent no byte."""
         return min(self.silent_s, self.oldest_s)
 
 
@@ -52,7 +47,8 @@
     Parameters
     ==========
 
-    stands_back : whether it lets others go first; no longer so once it has had bytes.
+    stands_back : whether it has the lowest priority and waits for others; ``False`` once the
+        upstream has sent bytes of its answer.
     """
 
     def __init__(
@@ -65,27 +61,27 @@
     ):
         self._tracker = tracker
         self.upstream_id = upstream_id
-        # What stands back is read when nothing else waits, so nothing waits for it.
+        # The engine processes low-priority prompts last, so other requests don't wait for them.
         self.pending_tokens = 0 if stands_back else prompt_tokens
         self.started_at = started_at
         self.stands_back = stands_back
         self.is_finished = False
 
     def progress(self) -> None:
-        """Note that the upstream gave bytes of the answer."""
+        """Note that the upstream sent bytes of the answer."""
         self._tracker.note_progress(self.upstream_id)
         self.pending_tokens = 0
         self.stands_back = False
 
     def finish(self) -> None:
-        """The request is no longer in flight; a second call does nothing."""
+        """Note that the request has ended; a second call does nothing."""
         if not self.is_finished:
             self.is_finished = True
             self._tracker.remove(self)
 
 
 class LoadTracker:
-    """The requests that this node has in flight, and the latest totals of all nodes."""
+    """Tracks this node's requests in flight and the latest totals of all nodes."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
@@ -95,36 +91,36 @@
         self._progress_at: dict[str, float] = {}
 
     def now(self) -> float:
-        """Return the time on the book's clock."""
+        """Return the current time of the tracker's clock."""
         return self._clock.now()
 
     def start(
         self, upstream_id: str, prompt_tokens: int = 0, stands_back: bool = False
     ) -> InFlightRequest:
-        """Note a request that is about to be sent.
+        """Register a request that is about to be sent.
 
         Parameters
         ==========
 
-        stands_back : whether it goes with the lowest priority, so that others don't wait for it.
+        stands_back : whether it is sent at the lowest priority, so that others don't wait for it.
         """
         request = InFlightRequest(self, upstream_id, prompt_tokens, self.now(), stands_back)
         self._in_flight.setdefault(upstream_id, []).append(request)
         return request
 
     def remove(self, request: InFlightRequest) -> None:
-        """Take a finished request out."""
+        """Remove a finished request."""
         requests = self._in_flight[request.upstream_id]
         requests.remove(request)
         if not requests:
             del self._in_flight[request.upstream_id]
 
     def note_progress(self, upstream_id: str) -> None:
-        """Note that an upstream gave a byte of an answer."""
+        """Note that an upstream sent a byte of an answer."""
         self._progress_at[upstream_id] = self.now()
 
     def own_reports(self) -> list[LoadReport]:
-        """Return what this node has in flight, and who has answered lately."""
+        """Return this node's load on each upstream that is in use or made progress recently."""
         now = self.now()
         recent = {u: at for u, at in self._progress_at.items() if now - at < PROGRESS_KEPT_S}
         self._progress_at = recent | {
@@ -133,7 +129,7 @@
         return [self.own_report(u, now) for u in {**recent, **self._in_flight}]
 
     def own_report(self, upstream_id: str, now: float) -> LoadReport:
-        """Return what this node has in flight at one upstream."""
+        """Return this node's load on one upstream."""
         requests = self._in_flight.get(upstream_id, ())
         pending = sum(request.pending_tokens for request in requests)
         silent_s = now - self._progress_at.get(upstream_id, now - NO_PROGRESS_SILENT_S)
@@ -142,18 +138,18 @@
         return LoadReport(upstream_id, len(requests), pending, silent_s, oldest_s, standing_back)
 
     def stalled_s(self, upstream_id: str) -> float:
-        """Return for how long our requests at an upstream have stood still."""
+        """Return for how many seconds this node's requests at an upstream have been stalled."""
         return self.own_report(upstream_id, self.now()).stalled_s
 
     def has_recent_totals(self) -> bool:
-        """Whether the load that other nodes put on upstreams is known."""
+        """Whether the totals of all nodes are recent enough to be used."""
         return self.now() - self._totals_at <= MAX_TOTALS_AGE_S
 
     def stalled_s_all_nodes(self, upstream_id: str) -> float:
-        """Return for how long requests of all nodes at an upstream have stood still.
+        """Return for how many seconds requests of all nodes at an upstream have been stalled.
 
-        What others saw is some tenths of a second old. A byte that came to this node
-        since then shows that the upstream goes on.
+        The totals are some tenths of a second old; a byte that this node received since then
+        shows that the upstream isn't stalled.
         """
         now = self.now()
         own = self.own_report(upstream_id, now)
@@ -166,7 +162,7 @@
         return min(silent_s, oldest_s)
 
     def update_totals(self, totals: list[LoadReport], own: list[LoadReport]) -> None:
-        """Take the load of all nodes, of which ``own`` is what this node had reported."""
+        """Update the totals of all nodes, which include this node's earlier reports ``own``."""
         self._totals_at = self.now()
         own_running = {report.upstream_id: report for report in own}
         self._others = {
@@ -175,30 +171,30 @@
         }
 
     def running(self, upstream_id: str) -> int:
-        """Return the requests in flight at an upstream from all nodes, as known."""
+        """Return the known number of requests of all nodes in flight at an upstream."""
         others = self._others.get(upstream_id)
         own = len(self._in_flight.get(upstream_id, ()))
         return own + (others.running if others else 0)
 
     def running_ahead(self, upstream_id: str) -> int:
-        """Return the requests in flight that one which is sent now has to wait for."""
+        """Return how many requests in flight are served before one that is sent now."""
         return max(0, self.running(upstream_id) - self.standing_back(upstream_id))
 
     def standing_back(self, upstream_id: str) -> int:
-        """Return the requests at an upstream that let others go first, as known."""
+        """Return the known number of requests that wait at an upstream at the lowest priority."""
         others = self._others.get(upstream_id)
         own = sum(request.stands_back for request in self._in_flight.get(upstream_id, ()))
         return own + (others.standing_back if others else 0)
 
     def pending_tokens(self, upstream_id: str) -> int:
-        """Return the prompt tokens that wait at an upstream, as known."""
+        """Return the known number of prompt tokens that an upstream has yet to process."""
         others = self._others.get(upstream_id)
         own = sum(request.pending_tokens for request in self._in_flight.get(upstream_id, ()))
         return own + (others.pending_tokens if others else 0)
 
 
 def _subtract(total: LoadReport, own: LoadReport | None) -> LoadReport:
-    """Return a total less one node's part of it."""
+    """Return a total without one node's share of it."""
     if own is None:
         return total
     return replace(
--- a/mulleinreach/gateway/known/permit_demand.py
+++ b/mulleinreach/gateway/known/permit_demand.py
@@ -1,4 +1,4 @@
-"""How many permits this node has use for, at each upstream with a limit."""
+"""Estimates how many permits this node needs for each upstream with a limit."""
 
 from __future__ import annotations
 
@@ -9,18 +9,17 @@
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.limits import LimitTracker, permit_lifetime_s
 
-# Seconds over which a node's requests for an upstream are counted.
+# Requests to an upstream are counted over this window.
 DEMAND_WINDOW_S = 4.0
 MAX_COUNTED_REQUESTS = 256
-# The part of a permit's time within which a node should have use for it, so that few lapse.
+# Fraction of a permit's lifetime to request permits for; below 1 so that few expire unused.
 PREFETCH_FRACTION = 0.5
-# A request that went elsewhere for want of a permit asks for one for the next request. Nodes that
-# have few would else never hear that the limit has ended.
+# A permit is requested this long after a diverted request, to notice when the limit ends.
 DIVERTED_KEPT_S = 1.0
 
 
 class PermitDemand:
-    """Counts the requests of this node that would go to upstreams if they had no limit."""
+    """Counts the requests that this node would send to upstreams if they had no limit."""
 
     def __init__(self, limits: LimitTracker, clock: Clock):
         self._limits = limits
@@ -30,7 +29,7 @@
         self._waiting: Counter[str] = Counter()
 
     def note_request(self, upstream_id: str) -> None:
-        """Note a request that would go to an upstream if that had no limit."""
+        """Count a request that would go to an upstream if it had no limit."""
         if not self._limits.is_limited(upstream_id):
             return
         requested_at = self._requested_at.setdefault(
@@ -39,12 +38,12 @@
         requested_at.append(self._clock.now())
 
     def note_diverted(self, upstream_id: str) -> None:
-        """Note that such a request goes to another upstream for want of a permit."""
+        """Note that a request goes to another upstream for lack of a permit for this one."""
         self._diverted_at[upstream_id] = self._clock.now()
 
     @contextlib.contextmanager
     def waiting(self, upstream_id: str) -> Iterator[None]:
-        """Ask for a permit for a request that waits for it meanwhile."""
+        """Count a request as waiting for a permit while the context is active."""
         self._waiting[upstream_id] += 1
         try:
             yield
@@ -52,15 +51,15 @@
             self._waiting[upstream_id] -= 1
 
     def expected_uses(self) -> dict[str, int]:
-        """Return how many permits would be spent, by upstream."""
+        """Return how many permits this node expects to use, by upstream id."""
         if not self._requested_at:
             return {}
         self._drop_expired()
         return {upstream_id: self._expected_use(upstream_id) for upstream_id in self._requested_at}
 
     def _expected_use(self, upstream_id: str) -> int:
-        """Return how many permits would be spent: by who waits, and by who will soon come."""
-        # One request alone shows no rate.
+        """Return the expected use: one permit per waiting request, and those for future traffic."""
+        # A rate needs at least two requests.
         request_rate_per_s = max(0, len(self._requested_at[upstream_id]) - 1) / DEMAND_WINDOW_S
         prefetch_s = PREFETCH_FRACTION * permit_lifetime_s(self._limits.limit_per_s(upstream_id))
         since = self._clock.now() - DIVERTED_KEPT_S
@@ -70,7 +69,7 @@
         )
 
     def _drop_expired(self) -> None:
-        """Forget requests that are too old to count, and what goes with them."""
+        """Remove requests older than the window, and upstreams without any."""
         since = self._clock.now() - DEMAND_WINDOW_S
         for upstream_id, times in list(self._requested_at.items()):
             while times and times[0] < since:
--- a/mulleinreach/gateway/known/permits.py
+++ b/mulleinreach/gateway/known/permits.py
@@ -1,15 +1,9 @@
-"""How many requests this node may send to upstreams that bound those of all nodes together.
+"""Permits to send requests to upstreams whose limit holds for all nodes together.
 
-Explanation
-===========
-
-The coordinator gives out permits, each for one request to one upstream within some seconds, as
-many as the upstream's limit allows, and to the nodes that have requests for it. So the sum holds
-without any node knowing what the others send: a permit that is lost, or lapses, is a request
-that isn't sent. A node that hears from no coordinator sends on at a small part of the limit.
-
-A node asks in advance for the permits that it will probably spend before they lapse, and for
-requests that no other upstream may take, which wait for the coordinator's next answer.
+A permit allows one request to one upstream and expires after a few seconds. The coordinator grants
+permits up to the upstream's limit. A node requests them in advance for its expected traffic, and
+for requests that no other upstream can serve. A node without a coordinator continues at a small
+share of the limit.
 """
 
 from __future__ import annotations
@@ -26,22 +20,21 @@
 from mulleinreach.gateway.known.notices import Rest
 from mulleinreach.gateway.known.permit_demand import PermitDemand
 
-# A node that was told nothing for so long hears from no coordinator.
+# A node without a coordinator's report for this long is isolated.
 ISOLATED_AFTER_S = 1.0
-# A request waits for one answer of the coordinator: two rounds of reports.
+# Enough for one answer of the coordinator, which takes two report intervals.
 MAX_PERMIT_WAIT_S = 0.6
-# While permits are short a request doesn't wait for one in vain.
+# Requests don't wait for a permit this long after the coordinator had none.
 UNAVAILABLE_KEPT_S = 1.0
-# The part of a limit that all nodes together use while none of them hears from a coordinator. It
-# comes on top of what a coordinator gives out that others still hear from.
+# Share of a limit that all isolated nodes together use, in addition to the granted permits.
 ISOLATED_SHARE_OF_LIMIT = 0.2
-# How many nodes there are at most, for a node that was told of none.
+# Upper bound on the number of nodes, until a coordinator reports it.
 ASSUMED_NODES = 350
 
 
 @dataclass(frozen=True)
 class PermitCount:
-    """So many permits for an upstream, as they are asked for or given out."""
+    """A number of permits for an upstream, as requested by a node or granted to it."""
 
     upstream_id: str
     count: int
@@ -54,8 +47,8 @@
     Parameters
     ==========
 
-    limit_per_s : the upstream's limit when they were given out.
-    expiries : the first one first.
+    limit_per_s : the upstream's limit when they were granted.
+    expiries : when each permit expires, in ascending order.
     """
 
     limit_per_s: float
@@ -63,7 +56,7 @@
 
 
 class SendPermits:
-    """The permits of this node, and what it wants."""
+    """The permits that this node holds and requests."""
 
     def __init__(self, limits: LimitTracker, clock: Clock, rng: random.Random):
         self.limits = limits
@@ -71,24 +64,24 @@
         self._clock = clock
         self._rng = rng
         self._held: dict[str, _HeldPermits] = {}
-        # When the coordinator had no permit for a request that waited.
+        # When a request last waited in vain for a permit, by upstream id.
         self._unavailable_at: dict[str, float] = {}
         self._permits_received = asyncio.Event()
-        # When this node may send next on its own.
+        # When this node may next send without a permit while it is isolated, by upstream id.
         self._isolated_send_at: dict[str, float] = {}
         self._reported_at = float("-inf")
         self._nodes = ASSUMED_NODES
 
-    # What the coordinator gives.
+    # Granted permits.
 
     def receive(self, granted: Iterable[PermitCount], asked_at: float, nodes: int) -> None:
-        """Take the coordinator's permits.
+        """Add the permits that the coordinator granted.
 
         Parameters
         ==========
 
-        asked_at : a moment before which they can't have been given out.
-        nodes : how many nodes the coordinator knows.
+        asked_at : when this node asked for them, which is no later than they were granted.
+        nodes : number of nodes that the coordinator knows.
         """
         self._reported_at, self._nodes = asked_at, nodes
         self._isolated_send_at = {}
@@ -102,11 +95,11 @@
         waiters.set()
 
     def _drop_expired(self) -> None:
-        """Forget upstreams for which no permit is left."""
+        """Remove upstreams for which no permit is left."""
         self._held = {u: held for u, held in self._held.items() if self._unspent(u)}
 
     def _unspent(self, upstream_id: str) -> int:
-        """Return how many permits this node holds; a limit that has sunk ends earlier ones."""
+        """Return how many valid permits this node holds; a lowered limit invalidates them."""
         held = self._held.get(upstream_id)
         if held is None:
             return 0
@@ -117,10 +110,10 @@
             held.expiries.popleft()
         return len(held.expiries)
 
-    # What is sent.
+    # Sent requests.
 
     def may_send(self, upstream_id: str) -> bool:
-        """Whether a request may be sent to an upstream now, as far as its limit goes."""
+        """Whether the limit of an upstream allows this node to send it a request now."""
         if not self.limits.is_limited(upstream_id):
             return True
         if self._unspent(upstream_id):
@@ -139,10 +132,10 @@
             )
 
     def rest(self, upstream_id: str) -> Rest | None:
-        """Return when callers may ask again for an upstream that may be sent nothing now.
+        """Return when callers should retry if an upstream's limit allows no request now.
 
-        Others were refused too, so they come back over the time of one permit, or over the time
-        for which permits are known to be short.
+        Retries are spread over the time that the limit takes to allow one more request, or over
+        ``UNAVAILABLE_KEPT_S`` if that is longer, so that refused callers don't all return at once.
         """
         if self.may_send(upstream_id):
             return None
@@ -150,11 +143,11 @@
         return Rest(0.0, max(UNAVAILABLE_KEPT_S, one_permit_s))
 
     def _is_isolated(self) -> bool:
-        """Whether no coordinator gives permits to this node."""
+        """Whether this node receives no reports of a coordinator."""
         return self._clock.now() - self._reported_at > ISOLATED_AFTER_S
 
     def _next_isolated_send(self, upstream_id: str) -> float:
-        """Return when this node may send on its own; the first time is drawn within a period."""
+        """Return when this node may next send without a permit; the first time is random."""
         if upstream_id not in self._isolated_send_at:
             first_in_s = self._rng.uniform(0, self._isolated_period_s(upstream_id))
             self._isolated_send_at[upstream_id] = self._clock.now() + first_in_s
@@ -164,15 +157,15 @@
         per_s = send_rate_per_s(self.limits.limit_per_s(upstream_id))
         return max(1, self._nodes) / (ISOLATED_SHARE_OF_LIMIT * per_s)
 
-    # What is wanted.
+    # Requested permits.
 
     def are_unavailable(self, upstream_id: str) -> bool:
-        """Whether it is in vain to wait for a permit, as far as is known."""
+        """Whether waiting for a permit is known to be useless at the moment."""
         unavailable_for_s = self._clock.now() - self._unavailable_at.get(upstream_id, float("-inf"))
         return self._is_isolated() or unavailable_for_s < UNAVAILABLE_KEPT_S
 
     async def wait(self, upstream_id: str) -> None:
-        """Wait until a request may be sent, or the coordinator has had no permit for it."""
+        """Wait until a request may be sent, or until the coordinator answers without permits."""
         asked_at = self._clock.now()
         with contextlib.suppress(TimeoutError), self.demand.waiting(upstream_id):
             async with asyncio.timeout(MAX_PERMIT_WAIT_S):
@@ -189,6 +182,6 @@
         self._unavailable_at[upstream_id] = now
 
     def wanted(self) -> tuple[PermitCount, ...]:
-        """Return the permits that this node has use for beside those that it holds."""
+        """Return the permits to request, in addition to those that this node holds."""
         missing = {u: count - self._unspent(u) for u, count in self.demand.expected_uses().items()}
         return tuple(PermitCount(u, count) for u, count in missing.items() if count > 0)
--- a/mulleinreach/gateway/known/routing.py
+++ b/mulleinreach/gateway/known/routing.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a request by the time to its first event."""
+"""Chooses the upstream of a request by the predicted time to its first event."""
 
 from __future__ import annotations
 
@@ -10,27 +10,21 @@
 from mulleinreach.gateway.model import EngineProfile
 from mulleinreach.gateway.upstream import Upstream
 
-# What each request that finds no free place adds to the predicted time, whatever the engine.
+# Added to the predicted time for each request beyond the slots of the engine.
 QUEUED_PENALTY_MS = 100.0
-# The better of two heads against one that is drawn: 0.045 and 0.085 of a day's worth on two
-# sites (ten days each).
+# Power of two choices: the better of two random heads is taken.
 COMPARED_HEADS = 2
-# A few more are drawn, in case some of them stand still.
+# More heads than are compared, since stalled ones are left out.
 SAMPLED_HEADS = 5
-# The pause between two events of a sound head is a small part of this.
+# Much longer than the interval between events of a working head.
 STALL_THRESHOLD_S = 0.25
-# What it costs to use another hall: a head there is taken if its first event is predicted
-# to come so much sooner (four to seven requests fewer), a plain upstream if it runs so
-# many requests fewer. Without either, a day is worth 0.007 less on two sites (ten days each),
-# and 0.01 to 0.02 on one whose dearest price is bytes between halls.
+# Penalty for an upstream in another hall, since traffic between halls is expensive.
 OTHER_HALL_PENALTY_MS = 10.0
 OTHER_HALL_PENALTY_REQUESTS = 1
-# What a cold upstream costs beside its requests, for as long as it is slow: it is left alone
-# while others have room, and still takes work from a full service.
+# Penalty for a cold upstream: it is avoided unless the others are busy.
 COLD_PENALTY_MS = 30.0
 COLD_PENALTY_REQUESTS = 2
-# What each request at a head costs that stands back there: one that is sent next doesn't wait
-# for it, but it waits for that one, so such requests should not gather at one head.
+# Penalty per low-priority request that waits at a head; spreads such requests over the heads.
 STANDING_BACK_PENALTY_MS = 20.0
 
 
@@ -42,10 +36,10 @@
     Parameters
     ==========
 
-    pace : how many times longer than usual the work takes there.
-    running : requests in flight there that go before this one.
-    pending_tokens : their prompt tokens that the engine has yet to read.
-    prompt_tokens : those of the request itself.
+    pace : slowdown factor of the upstream; 1 is the usual speed.
+    running : requests in flight at the upstream that are served before this one.
+    pending_tokens : prompt tokens of those requests that the engine has yet to process.
+    prompt_tokens : prompt tokens of the request itself.
 
     Examples
     ========
@@ -61,7 +55,7 @@
 
 
 def _pace(head: Head, profile: EngineProfile) -> float:
-    """Return how many times longer than usual work takes at a head, by its hosts and its model."""
+    """Return the slowdown factor of a head, the product of its hosts' and its model's factors."""
     model = profile.model(head.model)
     return head.pace * (model.pace if model else 1.0)
 
@@ -72,16 +66,15 @@
     Explanation
     ===========
 
-    What a node knows of other nodes' requests is a tenth of a second old. Were all
-    nodes to take the best of all heads, they would take the same one; so each takes
-    the better one of two that it draws [1]_. One of the two is drawn from the node's
-    own hall, and goes before the other unless it is clearly slower: bytes between halls
-    are the dearest thing that a request costs.
+    The known load of other nodes is a tenth of a second old. If all nodes took the best of all
+    heads, they would all take the same one. Each node therefore takes the better one of two
+    random heads [1]_. One of the two is from the node's own hall and is preferred unless it is
+    clearly slower, since traffic between halls is expensive.
 
     Parameters
     ==========
 
-    hall : the hall of this node; empty if none is to be preferred.
+    hall : the hall of this node, whose upstreams are preferred; empty for no preference.
 
     References
     ==========
@@ -102,15 +95,15 @@
         suspects: set[str],
         cold: Set[str] = frozenset(),
     ) -> Head | None:
-        """Return the better one of two heads that are neither suspect nor stand still.
+        """Return the better one of two random heads that are neither suspect nor stalled.
 
-        A head whose requests all stand still has probably lost a member. It takes some
-        tenths of a second until the coordinator has found that out.
+        A head whose requests are all stalled has probably lost a member of its group, which the
+        coordinator detects only after some tenths of a second.
 
         Parameters
         ==========
 
-        suspects : the ids of upstreams that failed a request lately.
+        suspects : the ids of upstreams that recently failed a request.
         cold : the ids of cold upstreams.
         """
         candidates = [head for head in heads if head.upstream.id not in suspects] or heads
@@ -133,7 +126,7 @@
         return min(sampled, key=cost_ms, default=None)
 
     def _sample(self, heads: list[Head], count: int) -> list[Head]:
-        """Return some heads, those that stand still only if nearly all do."""
+        """Return up to ``count`` random heads, stalled ones only if all sampled heads are."""
         sampled = self._rng.sample(heads, min(SAMPLED_HEADS, len(heads)))
         working = [head for head in sampled if not self._is_stalled(head)] or sampled
         return working[:count]
@@ -147,7 +140,7 @@
     def predicted_first_event_ms(
         self, head: Head, profile: EngineProfile, prompt_tokens: int
     ) -> float:
-        """Return the predicted milliseconds to a request's first event at a head."""
+        """Return the predicted time in milliseconds to a request's first event at a head."""
         return predict_first_event_ms(
             profile,
             _pace(head, profile),
@@ -157,10 +150,9 @@
         )
 
     def predicted_wait_ms(self, head: Head, profile: EngineProfile) -> float:
-        """Return how much of the time to a first event at a head is due to requests before.
+        """Return the predicted delay in milliseconds that requests ahead at a head cause.
 
-        What the request's own prompt takes is not counted, so a long one doesn't stand back
-        at an idle head.
+        The request's own prompt is not included.
         """
         idle_ms = predict_first_event_ms(profile, _pace(head, profile), 0, 0, 0)
         return self.predicted_first_event_ms(head, profile, 0) - idle_ms
@@ -168,7 +160,7 @@
     def choose_plain(
         self, upstreams: list[Upstream], suspects: set[str], cold: Set[str] = frozenset()
     ) -> Upstream | None:
-        """Return a plain service's upstream with the most room, unless it is suspect."""
+        """Return the least used upstream of a plain service, a suspect one only if all are."""
 
         def cost(upstream: Upstream) -> tuple:
             other_hall_requests = 0 if self._is_local(upstream) else OTHER_HALL_PENALTY_REQUESTS
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""Cold upstreams get no more requests a second, from all nodes together, than they bear."""
+"""Requests of all nodes together must not exceed the rate that a cold upstream can handle."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 COLD_S, COLD_PER_S = 12.0, 4.0
 BOUND = COLD_PER_S * BOUNDS.cold_ratio + BOUNDS.cold_slack
 WORLD = {"nodes": 6, "halls": 3, "domains": 3, "hosts_per_domain": 6, "bounds": BOUNDS}
-# A change of a row reaches all nodes within so many seconds.
+# Enough for a changed row to reach all nodes.
 ROW_PROPAGATION_S = 0.6
 STEP_S = 0.05
 
 
 class SettableClock(Clock):
-    """A clock that stands where a test sets it."""
+    """A clock whose time a test sets."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -58,7 +58,7 @@
 
 
 def max_per_second(times: Iterable[float]) -> int:
-    """Return how many moments lie within one second at most."""
+    """Return the largest number of times within any window of one second."""
     ordered = sorted(times)
     return max(
         (sum(t <= other < t + RATE_WINDOW_S for other in ordered) for t in ordered), default=0
@@ -66,13 +66,13 @@
 
 
 class Arrivals:
-    """The requests that each host has begun to run."""
+    """The requests that each host has started to process."""
 
     def __init__(self, world):
         self._checks = world.fabric.checks
 
     def at(self, host_id: str, since: float) -> list[float]:
-        """Return when they came to a host, from a moment on."""
+        """Return when requests arrived at a host, starting at a given time."""
         return [
             at
             for request_id, hosts in self._checks.runs.items()
@@ -81,13 +81,13 @@
         ]
 
     def check(self, hosts: Iterable[str], since: float) -> None:
-        """No host has had more than it bears in any second from a moment on."""
+        """Assert that no host exceeded the bound in any second since a given time."""
         for host in hosts:
             assert max_per_second(self.at(host, since)) <= BOUND, host
 
 
 async def send_to_all_nodes(world, seconds: float, statuses: list[int], model: str = LARGE) -> None:
-    """Ask each node for short streams, far more than cold heads bear."""
+    """Request short streams from each node, far more than cold heads can handle."""
     requests = []
     until = world.clock.now() + seconds
     while world.clock.now() < until:
@@ -100,14 +100,14 @@
 
 
 async def start_cold_world(world) -> None:
-    """Let all groups form and all nodes be numbered."""
+    """Wait until all groups are formed and all nodes have numbers."""
     world.store.put(CONFIGURATION, NEWEST, cold_configuration())
     await world.until_formed()
     await asyncio.sleep(6)
 
 
 def heads_in(world, hall: str | None = None) -> list[str]:
-    """Return the ids of the heads of a model, those in a hall or all."""
+    """Return the ids of the heads of a model, in one hall or in all."""
     heads = next(iter(world.nodes.values())).chooser.heads(MODEL_SERVICE, LARGE)
     return [h.upstream.id for h in heads if hall in (None, h.upstream.hall)]
 
@@ -124,9 +124,9 @@
 
 
 class NumberedNodes:
-    """Nodes that come, go and are cut off while their coordinator changes, and send all they may.
+    """Nodes that connect and disconnect while coordinators change, and send as much as allowed.
 
-    A node that is cut off keeps what it was told last; a new coordinator knows nothing of that.
+    A disconnected node keeps its last number, which a new coordinator doesn't know.
     """
 
     def __init__(self, size: int, seed: int):
@@ -138,7 +138,7 @@
         self.sends: list[float] = []
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Simulate a number of seconds."""
         for _ in range(int(seconds / STEP_S)):
             self._clock.time += STEP_S
             self._change()
@@ -224,12 +224,12 @@
         arrivals = Arrivals(world)
         arrivals.check(cold, started_at)
         assert set(statuses) == {200}
-        # Cold ones are used, as far as they bear it.
+        # Cold heads are used within the bound.
         assert all(len(arrivals.at(u, started_at)) > 0 for u in cold)
         assert all(max_per_second(arrivals.at(u, started_at)) > BOUND for u in warm)
         metrics = [node.metrics.registry for node in world.nodes.values()]
         withheld = [m.get_sample_value("mulleinreach_gateway_cold_withheld_total") for m in metrics]
-        # The node whose number is not chosen for the head withholds every request.
+        # A node with a quota of 0 for the head withholds every request.
         assert max(withheld) > 0
 
     run_world(test, **WORLD)
@@ -322,7 +322,7 @@
         for _ in range(12):
             asked_at = world.clock.now()
             answer = await world.stream(1, deadline_s=6.0)
-            # None waits until its node may send to a cold head again.
+            # No request waits until its node may send to a cold head again.
             assert world.clock.now() - asked_at < 0.1
             if answer.status == 503:
                 refused += 1
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""No request is sent to a hall that operators have asked to empty, whatever fails meanwhile."""
+"""No request may be sent to an evacuated hall after the bound, whatever fails meanwhile."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 
 BOUND_S = Bounds.evacuation_s
 HALL = "hall-a"
-# In calm times the coordinator reads the request at once, and the next report passes it on.
+# Without faults the coordinator reads the order at once and publishes it in its next report.
 PROPAGATION_S = 0.3
-# What a node needs, once the store is back, to have read it.
+# Enough for a node to read the store again after an outage.
 STORE_RECOVERY_S = 2.0
 MAX_STORE_WAIT_S = 2.5
 
 
 async def assert_served(world) -> None:
-    """Each node serves requests of both kinds."""
+    """Assert that each node serves both plain requests and streams."""
     for name in world.nodes:
         assert (await world.call("/order/1", node=name)).status == 200
         assert len((await world.stream(3, node=name)).event_ids) == 3
 
 
-# What goes wrong while a hall is emptied.
+# Faults during an evacuation.
 
 
 async def no_fault(world) -> None:
-    """All is well."""
+    """Cause no fault."""
 
 
 async def kill_coordinator(world) -> None:
-    """The coordinator is killed before it can read the request."""
+    """Kill the coordinator before it can read the order."""
     await world.kill_node(world.coordinator())
 
 
 async def silence_coordinator(world) -> None:
-    """All connections with the coordinator fall silent, and new ones don't come up."""
+    """Drop all traffic on connections with the coordinator, and block new connections."""
     coordinator = world.coordinator()
     world.links.silence(world.nodes)
     for name in world.nodes:
@@ -55,12 +55,12 @@
 
 
 async def reject_coordinator(world) -> None:
-    """The store refuses the coordinator."""
+    """Let the store reject the coordinator."""
     turn_away(world.nodes[world.coordinator()])
 
 
 async def reject_all_nodes_but_one(world) -> None:
-    """The store refuses all nodes but one, which doesn't coordinate."""
+    """Let the store reject all nodes except one that isn't the coordinator."""
     coordinator = world.coordinator()
     serving = next(name for name in world.nodes if name != coordinator)
     for name, node in world.nodes.items():
@@ -69,12 +69,12 @@
 
 
 async def lose_history(world) -> None:
-    """No wait can be continued for a while."""
+    """Let the store's history be lost, so that no wait can be resumed for a while."""
     world.store.history_from = world.store.version + 1000
 
 
 async def restart_node(world) -> None:
-    """A node is killed, and comes back in the hall that is being emptied."""
+    """Kill a node and start another one in the evacuated hall."""
     await asyncio.sleep(0.5)
     await world.kill_node(next(n for n in world.nodes if n != world.coordinator()))
     await world.start_node("node-new", hall=HALL)
@@ -149,7 +149,7 @@
             node.ports.configurations.wait = _hang
         await asyncio.sleep(MAX_STORE_WAIT_S)
         world.evacuate(HALL)
-        # The next renewal of the lease names a row that has changed.
+        # The next renewal of the lease finds the changed row.
         await asyncio.sleep(1.0 + PROPAGATION_S)
         for node in world.nodes.values():
             assert node.in_force.evacuations.halls == {HALL}
@@ -197,7 +197,7 @@
 
 
 async def _serve_halls(world, **scripts) -> dict[str, list[str]]:
-    """Start a plain upstream in each hall; returns the requests that each one sees."""
+    """Start a plain upstream in each hall; returns the requests that each one receives."""
     plain = {}
     for hall in world.halls:
         script = scripts.get(hall.replace("-", "_"), answer_whole)
@@ -315,7 +315,7 @@
     run_traffic(test, nodes=1)
 
 
-# What nodes make of each other's words.
+# Published orders.
 
 
 def test_older_report_is_discarded_and_is_no_evidence():
--- a/mulleinreach/gateway/known/tests/test_homes.py
+++ b/mulleinreach/gateway/known/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Requests that are bound to regions are sent to upstreams of those regions only."""
+"""Requests that are restricted to regions are sent only to upstreams of those regions."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from mulleinreach.standins.gateway.world import LARGE, make_configuration
 
 NORTH, SOUTH = "north", "south"
-# The third hall is in no region that is known.
+# The third hall has no known region.
 WORLD = {"halls": 3, "regions": {"hall-a": NORTH, "hall-b": SOUTH}}
 REFUSED_WITHIN_S = 0.05
 
 
 def restricted_configuration(of_routes: set[str], of_organisation: set[str]):
-    """Return a configuration with homes; an empty set is none."""
+    """Return a configuration that restricts regions; an empty set means no restriction."""
     configuration = make_configuration(2)
     routes = tuple(
         replace(route, homes=frozenset(of_routes) or None) for route in configuration.routes
--- a/mulleinreach/gateway/known/tests/test_routing.py
+++ b/mulleinreach/gateway/known/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Which head gets a request while one of them stands still."""
+"""Stalled, busy, cold and remote upstreams are avoided while better ones are available."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
         chosen = [
             router.choose_head(heads, PROFILE, 100, NO_SUSPECTS).upstream.id for _ in range(40)
         ]
-        # The other head that is drawn may be the near one too.
+        # The second random head may be the near one again.
         assert chosen.count("near") == 40 if is_near_chosen else chosen.count("near") < 20
 
     run_virtual(test())
