--- a/mulleinreach/gateway/known/evacuations.py
+++ b/mulleinreach/gateway/known/evacuations.py
@@ -55,7 +55,7 @@
     ========
 
     >>> halls = Evacuations(5.0, ("a", "b"), Clock(), EventLog("node"))
-    >>> halls.apply_rows([EvacuationRow("a", 0)], True, 9, evidence_at=NEVER)
+    >>> halls.apply_rows([EvacuationRow("a", 0)], True, 9, proven_at=NEVER)
     >>> sorted(halls.halls), halls.share("a")
     ([], 1.0)
     >>> halls.rows()
@@ -85,7 +85,7 @@
         return tuple(EvacuationRow(hall, self._versions.get(hall, 0)) for hall in names)
 
     def apply_rows(
-        self, rows: Iterable[EvacuationRow], is_complete: bool, revision: int, evidence_at: float
+        self, rows: Iterable[EvacuationRow], is_complete: bool, revision: int, proven_at: float
     ) -> None:
         """Apply rows that this node has read from the store.
 
@@ -94,7 +94,7 @@
 
         is_complete : whether ``rows`` includes every hall with an order.
         revision : the store's revision that was read; rows of an earlier one are ignored.
-        evidence_at : the latest time at which the state known so far is proved to be current.
+        proven_at : the latest time at which the state known so far is proved to be current.
         """
         if is_complete:
             self._versions.clear()
@@ -102,32 +102,32 @@
             self._versions[row.hall] = row.version
         if revision >= self.revision:
             evacuated = frozenset(hall for hall, version in self._versions.items() if version)
-            self._apply(evacuated, revision, evidence_at)
+            self._apply(evacuated, revision, proven_at)
             self._confirm(evacuated)
 
-    def apply_published(self, halls: frozenset[str], revision: int, evidence_at: float) -> bool:
+    def apply_published(self, halls: frozenset[str], revision: int, proven_at: float) -> bool:
         """Apply what the coordinator published; returns whether this node now agrees with it.
 
         Parameters
         ==========
 
         halls : all evacuated halls, as of ``revision`` of the store.
-        evidence_at : the latest time at which the state known so far is proved to be current.
+        proven_at : the latest time at which the state known so far is proved to be current.
         """
         if revision >= self.revision:
             # A coordinator also receives its own report, which confirms nothing.
             is_newer = revision > self.revision
-            self._apply(halls, revision, evidence_at)
+            self._apply(halls, revision, proven_at)
             if is_newer:
                 self._confirm(halls)
         return halls == self.halls
 
-    def _apply(self, halls: frozenset[str], revision: int, evidence_at: float) -> None:
+    def _apply(self, halls: frozenset[str], revision: int, proven_at: float) -> None:
         if era_of(revision) > era_of(self.revision):
             self._mark_unconfirmed(self.halls - halls)
         self.revision = revision
         for hall in sorted(halls - self.halls):
-            self._begin(hall, evidence_at)
+            self._begin(hall, proven_at)
         for hall in sorted(self.halls - halls):
             if self._evacuated[hall].unconfirmed_until is None:
                 self._end(hall)
@@ -150,18 +150,18 @@
             if until is not None and self._clock.now() >= until:
                 self._end(hall)
 
-    def _begin(self, hall: str, evidence_at: float) -> None:
+    def _begin(self, hall: str, proven_at: float) -> None:
         now = self._clock.now()
         if hall not in self._configured:
             # The evidence, renewals of the lease, covers only the halls of the deployment.
-            evidence_at = NEVER
-        closed_at = max(now, evidence_at + RAMP_DOWN_FRACTION * self._bound_s)
+            proven_at = NEVER
+        closed_at = max(now, proven_at + RAMP_DOWN_FRACTION * self._bound_s)
         self._evacuated[hall] = _Evacuation(now, closed_at)
         self._log.event(
             "hall_evacuated",
             hall=hall,
             known=hall in self._configured,
-            unproven_for_s=round(now - evidence_at, 2),
+            unproven_for_s=round(now - proven_at, 2),
             nothing_more_in_s=round(closed_at - now, 2),
         )
 
--- a/mulleinreach/gateway/known/load.py
+++ b/mulleinreach/gateway/known/load.py
@@ -110,9 +110,9 @@
 
     def remove(self, request: InFlightRequest) -> None:
         """Remove a finished request."""
-        requests = self._in_flight[request.upstream_id]
-        requests.remove(request)
-        if not requests:
+        in_flight = self._in_flight[request.upstream_id]
+        in_flight.remove(request)
+        if not in_flight:
             del self._in_flight[request.upstream_id]
 
     def note_progress(self, upstream_id: str) -> None:
@@ -130,12 +130,12 @@
 
     def own_report(self, upstream_id: str, now: float) -> LoadReport:
         """Return this node's load on one upstream."""
-        requests = self._in_flight.get(upstream_id, ())
-        pending = sum(request.pending_tokens for request in requests)
+        in_flight = self._in_flight.get(upstream_id, ())
+        pending = sum(request.pending_tokens for request in in_flight)
         silent_s = now - self._progress_at.get(upstream_id, now - NO_PROGRESS_SILENT_S)
-        oldest_s = max((now - request.started_at for request in requests), default=0.0)
-        standing_back = sum(request.stands_back for request in requests)
-        return LoadReport(upstream_id, len(requests), pending, silent_s, oldest_s, standing_back)
+        oldest_s = max((now - request.started_at for request in in_flight), default=0.0)
+        standing_back = sum(request.stands_back for request in in_flight)
+        return LoadReport(upstream_id, len(in_flight), pending, silent_s, oldest_s, standing_back)
 
     def stalled_s(self, upstream_id: str) -> float:
         """Return for how many seconds this node's requests at an upstream have been stalled."""
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -277,7 +277,7 @@
     async def test():
         evacuations = Evacuations(BOUND_S, ("hall-a",), clock, EventLog("node"))
         rows = [EvacuationRow("hall-a", 3), EvacuationRow("hall-z", 4)]
-        evacuations.apply_rows(rows, True, 4, evidence_at=clock.now())
+        evacuations.apply_rows(rows, True, 4, proven_at=clock.now())
         assert (evacuations.share("hall-a"), evacuations.share("hall-z")) == (1.0, 0.0)
 
     run_virtual(test())
--- a/mulleinreach/gateway/known/tests/test_homes.py
+++ b/mulleinreach/gateway/known/tests/test_homes.py
@@ -71,8 +71,8 @@
         assert statuses == ({200} if serving else {503})
         if not serving:
             assert world.clock.now() - asked_at < REFUSED_WITHIN_S
-            events = fields_of(logged, "no_upstream")
-            assert [fields["abroad"] for fields in events] == [3] * 30
+            no_upstream_events = fields_of(logged, "no_upstream")
+            assert [fields["abroad"] for fields in no_upstream_events] == [3] * 30
 
     run_world(test, nodes=1, domains=0, **WORLD)
 
