--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -7,14 +7,14 @@
 
 from mulleinreach.common import EventLog, TaskGroup
 from mulleinreach.gateway.fleet.formation import LeaseLost
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.upstream import Upstream
 
 
-class HostDuties:
+class HostTasks:
     """The duties under way; ``wake`` is set when one has ended or the list has changed."""
 
-    def __init__(self, hosts: HostBook, log: EventLog):
+    def __init__(self, hosts: HostRegistry, log: EventLog):
         self._hosts = hosts
         self._log = log
         self._tasks = TaskGroup()
@@ -26,7 +26,7 @@
         self._hosts.busy |= taken
         self._tasks.spawn(self._guarded(duty, taken))
 
-    def spawn_question(self, question: Coroutine) -> None:
+    def spawn_probe(self, question: Coroutine) -> None:
         """Ask hosts something, which disturbs no duty."""
         self._tasks.spawn(question)
 
--- a/mulleinreach/gateway/known/cold.py
+++ b/mulleinreach/gateway/known/cold.py
@@ -1,4 +1,4 @@
-"""Limits the rate of requests to cold upstreams.
+"""RequestLimits the rate of requests to cold upstreams.
 
 An upstream is cold for some time after its start, while its cache is empty, and can handle only a
 limited rate of requests from all nodes together. The coordinator assigns a number to each node,
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import Service
@@ -96,12 +96,12 @@
     Examples
     ========
 
-    >>> limit = ColdRateLimit(Bounds(cold_ratio=1.0, cold_slack=1.0), Clock(), EventLog("node"))
+    >>> limit = ColdRateLimit(DeploymentBounds(cold_ratio=1.0, cold_slack=1.0), Clock(), EventLog("node"))
     >>> limit.allows("u", 3.0)
     False
     """
 
-    def __init__(self, bounds: Bounds, clock: Clock, log: EventLog):
+    def __init__(self, bounds: DeploymentBounds, clock: Clock, log: EventLog):
         self._bounds = bounds
         self._clock = clock
         self._log = log
--- a/mulleinreach/gateway/known/eligibility.py
+++ b/mulleinreach/gateway/known/eligibility.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.gateway.known.cold import ColdUpstreams
 from mulleinreach.gateway.known.evacuations import Evacuations
-from mulleinreach.gateway.known.notices import NoticeBook, Rest
+from mulleinreach.gateway.known.notices import NoticeTracker, Rest
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import Service
@@ -66,7 +66,7 @@
         self,
         evacuations: Evacuations,
         cold: ColdUpstreams,
-        notices: NoticeBook,
+        notices: NoticeTracker,
         permits: SendPermits,
         regions: Mapping[str, str],
         metrics: GatewayMetrics,
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -13,13 +13,13 @@
 
 from mulleinreach.common import Address, Clock, EventLog
 from mulleinreach.gateway.coordination.numbering import NodeNumbers
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import Configuration
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
-from mulleinreach.gateway.tests.desk import answer_whole, fail
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.desk import echo_path, fail
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Upstream
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST, UPSTREAMS
 from mulleinreach.standins.gateway.world import (
@@ -28,7 +28,7 @@
     make_configuration,
 )
 
-BOUNDS = Bounds(cold_ratio=1.5, cold_slack=5.0)
+BOUNDS = DeploymentBounds(cold_ratio=1.5, cold_slack=5.0)
 COLD_S, COLD_PER_S = 12.0, 4.0
 BOUND = COLD_PER_S * BOUNDS.cold_ratio + BOUNDS.cold_slack
 WORLD = {"nodes": 6, "halls": 3, "domains": 3, "hosts_per_domain": 6, "bounds": BOUNDS}
@@ -200,14 +200,14 @@
 def test_cold_time_counts_from_the_latest_change_of_a_row():
     host = Upstream("u", "s", Address("10.0.0.1", 80), "hall", cold_s=5.0)
     directory = UpstreamDirectory()
-    directory.replace_all(1, [host], heard_at=10.0)
-    assert directory.put_report(replace(host, pace=2.0), as_of=13.0)
-    directory.replace_all(2, [replace(host, pace=2.0)], heard_at=14.0)
+    directory.replace_all(1, [host], observed_at=10.0)
+    assert directory.apply_report(replace(host, pace=2.0), as_of=13.0)
+    directory.replace_all(2, [replace(host, pace=2.0)], observed_at=14.0)
     assert directory.cold_ids(14.9) == {"u"}
     assert not directory.cold_ids(15.1)
-    directory.apply(ListChange(3, [replace(host, cold_s=8.0)], []), heard_at=16.0)
+    directory.apply(ListChange(3, [replace(host, cold_s=8.0)], []), observed_at=16.0)
     assert directory.cold_ids(23.9) == {"u"}
-    directory.apply(ListChange(4, [replace(host, cold_s=0.0)], []), heard_at=17.0)
+    directory.apply(ListChange(4, [replace(host, cold_s=0.0)], []), observed_at=17.0)
     assert not directory.cold_ids(17.0)
 
 
@@ -251,7 +251,7 @@
         else:
             others = [name for name in world.nodes if name != first]
             for away in (first, *others[:2]):
-                turn_away(world.nodes[away])
+                block_store_access(world.nodes[away])
                 for other in others[2:]:
                     world.links.cut_both(away, other)
         await sending
@@ -266,7 +266,7 @@
     async def test(world):
         await start_cold_world(world)
         first = world.coordinator()
-        turn_away(world.nodes[first])
+        block_store_access(world.nodes[first])
         for other in world.nodes:
             if other != first:
                 world.links.cut_both(first, other)
@@ -364,7 +364,7 @@
 
 def test_service_without_a_bound_uses_cold_upstreams_as_before():
     async def test(world):
-        plain = await world.add_plain("desk", answer_whole)
+        plain = await world.add_plain("desk", echo_path)
         world.store.put(UPSTREAMS, "desk", replace(plain.upstream, cold_s=COLD_S))
         await asyncio.sleep(2)
         answers = await asyncio.gather(*(world.call("/order/1") for _ in range(30)))
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -7,17 +7,17 @@
 import pytest
 
 from mulleinreach.common import EventLog, VirtualClock
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.evacuations import NEVER, RAMP_DOWN_FRACTION, Evacuations
 from mulleinreach.gateway.ports import EvacuationRow
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
-from mulleinreach.gateway.tests.desk import answer_whole, fail, refuse
-from mulleinreach.gateway.tests.support import let_in, run_world, turn_away
+from mulleinreach.gateway.tests.desk import echo_path, fail, refuse
+from mulleinreach.gateway.tests.support import block_store_access, restore_store_access, run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
 from mulleinreach.standins.gateway.world import SMALL
 from mulleinreach.standins.virtual import run_virtual
 
-BOUND_S = Bounds.evacuation_s
+BOUND_S = DeploymentBounds.evacuation_s
 HALL = "hall-a"
 # Without faults the coordinator reads the order at once and publishes it in its next report.
 PROPAGATION_S = 0.3
@@ -56,7 +56,7 @@
 
 async def reject_coordinator(world) -> None:
     """Let the store reject the coordinator."""
-    turn_away(world.nodes[world.coordinator()])
+    block_store_access(world.nodes[world.coordinator()])
 
 
 async def reject_all_nodes_but_one(world) -> None:
@@ -65,7 +65,7 @@
     serving = next(name for name in world.nodes if name != coordinator)
     for name, node in world.nodes.items():
         if name != serving:
-            turn_away(node)
+            block_store_access(node)
 
 
 async def lose_history(world) -> None:
@@ -94,12 +94,12 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_hall_gets_nothing_after_the_bound(fault):
     async def test(world, traffic):
-        assert traffic.plain_starts(HALL) and traffic.model_starts(HALL)
+        assert traffic.plain_request_times(HALL) and traffic.model_request_times(HALL)
         asked_at = world.clock.now()
         world.evacuate(HALL)
         await fault(world)
         await asyncio.sleep(BOUND_S + 4)
-        assert traffic.starts_after(HALL, asked_at + BOUND_S) == []
+        assert traffic.request_times_after(HALL, asked_at + BOUND_S) == []
         await assert_served(world)
 
     run_traffic(test)
@@ -117,7 +117,9 @@
         await fault(world)
         await asyncio.sleep(BOUND_S)
         assert (
-            traffic.starts_after(HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S + PROPAGATION_S)
+            traffic.request_times_after(
+                HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S + PROPAGATION_S
+            )
             == []
         )
 
@@ -127,16 +129,16 @@
 def test_order_written_during_a_store_outage_applies_after_it():
     async def test(world, traffic):
         for node in world.nodes.values():
-            turn_away(node)
+            block_store_access(node)
         await asyncio.sleep(MAX_STORE_WAIT_S)
         world.evacuate(HALL)
         await asyncio.sleep(1)
         back_at = world.clock.now()
         for node in world.nodes.values():
-            let_in(node)
+            restore_store_access(node)
         await asyncio.sleep(BOUND_S)
-        assert traffic.starts_after(HALL, back_at - 1)
-        assert traffic.starts_after(HALL, back_at + STORE_RECOVERY_S) == []
+        assert traffic.request_times_after(HALL, back_at - 1)
+        assert traffic.request_times_after(HALL, back_at + STORE_RECOVERY_S) == []
         await assert_served(world)
 
     run_traffic(test)
@@ -173,8 +175,8 @@
         for known in zip(*shares, strict=True):
             assert list(known) == sorted(known, reverse=True)
             assert 0 < min(share for share in known[:10]) < 0.9
-        assert traffic.starts_after(HALL, asked_at + 0.5)
-        assert traffic.starts_after(HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S) == []
+        assert traffic.request_times_after(HALL, asked_at + 0.5)
+        assert traffic.request_times_after(HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S) == []
 
     run_traffic(test)
 
@@ -200,7 +202,7 @@
     """Start a plain upstream in each hall; returns the requests that each one receives."""
     plain = {}
     for hall in world.halls:
-        script = scripts.get(hall.replace("-", "_"), answer_whole)
+        script = scripts.get(hall.replace("-", "_"), echo_path)
         plain[hall] = await world.add_plain(f"desk-{hall}", script, hall)
     await asyncio.sleep(3)
     return {hall: upstream.seen for hall, upstream in plain.items()}
@@ -215,7 +217,7 @@
         back_at = world.clock.now()
         world.take_back(HALL)
         await asyncio.sleep(1)
-        assert traffic.starts_after(HALL, back_at)
+        assert traffic.request_times_after(HALL, back_at)
         assert not any(node.in_force.evacuations.halls for node in world.nodes.values())
 
     run_traffic(test)
@@ -229,7 +231,9 @@
         await asyncio.sleep(BOUND_S)
         for hall in ("hall-a", "hall-b"):
             assert (
-                traffic.starts_after(hall, asked_at + RAMP_DOWN_FRACTION * BOUND_S + PROPAGATION_S)
+                traffic.request_times_after(
+                    hall, asked_at + RAMP_DOWN_FRACTION * BOUND_S + PROPAGATION_S
+                )
                 == []
             )
         await assert_served(world)
@@ -259,7 +263,7 @@
 def test_hall_that_the_settings_do_not_name_is_evacuated_too():
     async def test(world):
         seen = await _serve_halls(world)
-        added = await world.add_plain("desk-z", answer_whole, "hall-z")
+        added = await world.add_plain("desk-z", echo_path, "hall-z")
         world.evacuate("hall-z")
         await asyncio.sleep(BOUND_S)
         for name in world.nodes:
@@ -310,7 +314,7 @@
         resumed = [runs for runs in world.fabric.checks.runs.values() if len(runs) > 1]
         assert resumed
         assert all(len(answer.event_ids) == 12 for answer in answers)
-        assert traffic.starts_after(HALL, asked_at + BOUND_S) == []
+        assert traffic.request_times_after(HALL, asked_at + BOUND_S) == []
 
     run_traffic(test, nodes=1)
 
--- a/mulleinreach/gateway/known/tests/test_homes.py
+++ b/mulleinreach/gateway/known/tests/test_homes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.logged import fields_of, keep_events
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST
 from mulleinreach.standins.gateway.world import LARGE, make_configuration
@@ -42,7 +42,7 @@
 async def start_upstream_in_each_hall(world) -> None:
     """Start a plain upstream in each hall."""
     for hall in world.halls:
-        await world.add_plain(hall, answer_whole, hall)
+        await world.add_plain(hall, echo_path, hall)
     await world.until(lambda: len(world.nodes["node-0"].directory) == len(world.halls))
 
 
@@ -63,7 +63,7 @@
     async def test(world):
         await start_upstream_in_each_hall(world)
         await apply_configuration(world, restricted_configuration(of_routes, of_organisation))
-        logged = keep_events(world.nodes["node-0"])
+        logged = record_events(world.nodes["node-0"])
         asked_at = world.clock.now()
         answers = await asyncio.gather(*(world.call("/order/1") for _ in range(30)))
         statuses = {answer.status for answer in answers}
@@ -71,7 +71,7 @@
         assert statuses == ({200} if serving else {503})
         if not serving:
             assert world.clock.now() - asked_at < REFUSED_WITHIN_S
-            no_upstream_events = fields_of(logged, "no_upstream")
+            no_upstream_events = event_fields(logged, "no_upstream")
             assert [fields["abroad"] for fields in no_upstream_events] == [3] * 30
 
     run_world(test, nodes=1, domains=0, **WORLD)
@@ -79,7 +79,7 @@
 
 def test_homes_of_an_organisation_do_not_restrict_requests_without_its_key():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await apply_configuration(world, restricted_configuration(set(), {SOUTH}))
         assert (await world.call("/public/1", key=None)).status == 200
         assert (await world.call("/order/1")).status == 503
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -8,7 +8,7 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.content import format_digest
-from mulleinreach.gateway.known.crashes import CrashBook
+from mulleinreach.gateway.known.crashes import CrashTracker
 from mulleinreach.gateway.known.eligibility import Exclusion
 from mulleinreach.gateway.known.load import InFlightRequest, LoadTracker
 from mulleinreach.gateway.known.notices import Rest
@@ -60,7 +60,7 @@
         suspects: SuspectList,
         budget: WindowedRetryBudget,
         first_waits: FirstWaits,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         probe: EndedProbe,
         metrics: GatewayMetrics,
         clock: Clock,
