--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -41,23 +41,23 @@
 
 def test_later_start_under_the_name_has_no_limit():
     book, _ = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     assert book.is_limited(FIRST.id)
     assert not book.is_limited(LATER)
 
 
 def test_answer_without_a_limit_before_any_is_no_news():
     book, _ = make_book(FIRST)
-    book.take(FIRST.id, math.inf)
+    book.record_answer(FIRST.id, math.inf)
     assert not book.has_any
     assert book.unpublished(includes_published=True) == ()
 
 
 def test_earlier_word_that_comes_late_changes_nothing():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     clock.at += 1
-    book.take(FIRST.id, math.inf)
+    book.record_answer(FIRST.id, math.inf)
     book.merge_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
     book.merge_published([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
     assert not book.is_limited(FIRST.id)
@@ -65,7 +65,7 @@
 
 def test_later_word_of_another_node_counts_either_way():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     clock.at += 1
     book.merge_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
     assert book.limit_per_s(FIRST.id) == 4.0
@@ -75,31 +75,31 @@
 
 def test_limit_that_ended_is_told_for_a_while_and_then_forgotten():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     clock.at += 1
-    book.take(FIRST.id, math.inf)
-    assert [limit.per_s for limit in book.named()] == [math.inf]
+    book.record_answer(FIRST.id, math.inf)
+    assert [limit.per_s for limit in book.known_limits()] == [math.inf]
     clock.at += ENDED_LIMIT_KEPT_S
-    assert book.named() == ()
+    assert book.known_limits() == ()
 
 
 def test_limit_of_an_upstream_that_is_gone_is_forgotten_one_on_the_list_is_not():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
-    book.take("another", 2.0)
+    book.record_answer(FIRST.id, 1.5)
+    book.record_answer("another", 2.0)
     clock.at += UNLISTED_LIMIT_KEPT_S
     assert book.limits() == {FIRST.id: 1.5}
 
 
 def test_coordinator_is_told_only_what_it_has_not_told():
     book, clock = make_book(FIRST)
-    book.take(FIRST.id, 1.5)
+    book.record_answer(FIRST.id, 1.5)
     assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [1.5]
     book.merge_published([NamedLimit(FIRST.id, 1.5)], clock.now())
     assert book.unpublished(includes_published=False) == ()
     assert len(book.unpublished(includes_published=True)) == 1
     clock.at += 1
-    book.take(FIRST.id, 2.5)
+    book.record_answer(FIRST.id, 2.5)
     assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [2.5]
 
 
