--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -67,7 +67,7 @@
         self._own_reports = OwnReports(identity, lease, loads, knowledge, clock)
         self._follower = Follower(lease, network, self._own_reports, knowledge)
         self._hub = MemberHub(
-            lease, network, identity.peers, clock, knowledge, self._own_reports.current
+            lease, network, identity.peers_address, clock, knowledge, self._own_reports.current
         )
         self._term = CoordinatorTerm(
             lease, self._hub, self._own_reports, knowledge, coordinate, clock, log
@@ -180,7 +180,7 @@
 
     async def _coordinate_after(self, replaced_record: LeaseRecord | None) -> None:
         """Coordinate, and notify the previous holder if it was another node."""
-        if replaced_record is None or replaced_record.address == str(self._identity.peers):
+        if replaced_record is None or replaced_record.address == str(self._identity.peers_address):
             await self._coordinate()
             return
         own_successor = self._lease.as_successor()
--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -37,7 +37,7 @@
 
     def report_limit(self, number: int, limit: float) -> None:
         """Report the upstream's limit to a node, as in a response of the upstream."""
-        self.nodes[number].limits.take(UPSTREAM.id, limit)
+        self.nodes[number].limits.record_answer(UPSTREAM.id, limit)
 
     def restart_node(self, number: int) -> None:
         """Replace a node by a restarted one that knows the limit."""
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -158,7 +158,7 @@
 def test_limit_that_sinks_revokes_permits_granted_before():
     harness = LimitHarness(1, 30.0)
     node = harness.nodes[0]
-    node.take([PermitCount(UPSTREAM.id, 20)], harness.clock.now(), 2)
+    node.receive([PermitCount(UPSTREAM.id, 20)], harness.clock.now(), 2)
     assert node.may_send(UPSTREAM.id)
     harness.clock.at += 0.1
     harness.report_limit(0, 1.0)
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -171,9 +171,11 @@
             self._hosts.mark_lost(member.id)
             return False
         self._hosts.merge_report(report, as_of)
-        if report.place == member.place:
+        if report.group_key == member.group_key:
             return True
-        return member.place is None and self._hosts.has_left_since(member.id, report.place, as_of)
+        return member.group_key is None and self._hosts.has_left_since(
+            member.id, report.group_key, as_of
+        )
 
     async def _join(
         self, member: Upstream, name: str, epoch: int, model: str, ids: list[str]
@@ -285,7 +287,7 @@
 
     def _is_member(self, host: str, name: str, epoch: int) -> bool:
         known = self._hosts.get(host)
-        return known is not None and known.place == (name, epoch)
+        return known is not None and known.group_key == (name, epoch)
 
     def _are_ready(self, name: str, epoch: int, ids: list[str]) -> bool:
         for rank, host in enumerate(ids):
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -111,7 +111,7 @@
                 self._last_model[upstream.id] = upstream.models[0]
             membership = upstream.membership
             if membership is not None and membership.rank == 0:
-                self._heads[upstream.place] = upstream.id
+                self._heads[upstream.group_key] = upstream.id
 
     def _update_cold_deadline(self, upstream: Upstream) -> None:
         """Set the end of a host's cold period when its row is new or announces another one."""
@@ -393,4 +393,4 @@
 
 def is_member(host: Upstream, group: Group) -> bool:
     """Whether a host reports that it is a member of a group."""
-    return host.place == (group.name, group.epoch)
+    return host.group_key == (group.name, group.epoch)
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -236,9 +236,9 @@
         membership = host.membership
         if membership is None:
             return True
-        if self._hosts.has_left(host.id, host.place):
+        if self._hosts.has_left(host.id, host.group_key):
             return True
-        group = groups[host.place]
+        group = groups[host.group_key]
         # Members are free only after the head has left the group: its known state may be
         # stale, and an order to open may still be in flight.
         return is_standby(group) and membership.state is not MemberState.JOINING
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -51,7 +51,7 @@
         coordinator.operator._quick_waits = 1
         stale = host.describe()
         host.report = lambda: stale
-        coordinator.hosts.mark_ended(Group(*head.place, {}), None)
+        coordinator.hosts.mark_ended(Group(*head.group_key, {}), None)
         for _ in range(400):
             await asyncio.sleep(0.05)
             world.store.put(UPSTREAMS, head.id, stale)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -228,7 +228,7 @@
         self._cold_limit.set_number(report.number, totals.numbers, asked_at)
         if totals.limits is not None:
             self._permits.limits.merge_published(totals.limits, asked_at)
-        self._permits.take(report.permits, asked_at, totals.nodes)
+        self._permits.receive(report.permits, asked_at, totals.nodes)
         self._crashes.merge_held(totals.held or (), asked_at)
         self._take_heads(totals)
         self._take_lost(totals.lost)
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -26,10 +26,10 @@
         known = coordinator.hosts.get(host.id)
         as_of = world.clock.now()
         await asyncio.sleep(0.01)
-        host.leave(*known.place)
+        host.leave(*known.group_key)
         await asyncio.sleep(REPORT_LAG_S)
         assert not coordinator.directory.apply_report(known, as_of)
-        assert coordinator.directory.get(host.id).place != known.place
+        assert coordinator.directory.get(host.id).group_key != known.group_key
 
     run_world(test)
 
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -266,7 +266,7 @@
 
     def _log_unusable_rows(self, result: UpstreamsRead, is_full: bool) -> None:
         """Log each invalid upstream row when it appears and when its reason changes."""
-        read = {row.name: row.why for row in result.unusable}
+        read = {row.name: row.reason for row in result.unusable}
         for name, why in read.items():
             if self._unusable.get(name) != why:
                 self._log.event("row_unusable", row=name, why=why)
--- a/mulleinreach/gateway/known/upstreams.py
+++ b/mulleinreach/gateway/known/upstreams.py
@@ -339,9 +339,9 @@
     """Return the groups that hosts report as theirs, by name and epoch."""
     groups: dict[tuple[str, int], Group] = {}
     for upstream in upstreams:
-        if upstream.place is None:
+        if upstream.group_key is None:
             continue
-        group = groups.setdefault(upstream.place, Group(*upstream.place))
+        group = groups.setdefault(upstream.group_key, Group(*upstream.group_key))
         group.members[upstream.membership.rank] = upstream
     return groups
 
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -276,7 +276,7 @@
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
-        self._tasks.spawn(self.store_calls.tell())
+        self._tasks.spawn(self.store_calls.log_counts())
         self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
         self.log.event(
             "node_started", callers=self.identity.callers_address, hall=self.identity.hall
@@ -315,7 +315,7 @@
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
         self.notices.record(upstream, notice)
         if notice.limit_per_s is not None:
-            self.limits.take(upstream.id, notice.limit_per_s)
+            self.limits.record_answer(upstream.id, notice.limit_per_s)
 
     def _on_upstreams_changed(self) -> None:
         self.controller.notify()
