--- a/mulleinreach/gateway/known/cold.py
+++ b/mulleinreach/gateway/known/cold.py
@@ -1,4 +1,4 @@
-"""RequestLimits the rate of requests to cold upstreams.
+"""Restricts the rate of requests to cold upstreams.
 
 An upstream is cold for some time after its start, while its cache is empty, and can handle only a
 limited rate of requests from all nodes together. The coordinator assigns a number to each node,
@@ -96,7 +96,8 @@
     Examples
     ========
 
-    >>> limit = ColdRateLimit(DeploymentBounds(cold_ratio=1.0, cold_slack=1.0), Clock(), EventLog("node"))
+    >>> bounds = DeploymentBounds(cold_ratio=1.0, cold_slack=1.0)
+    >>> limit = ColdRateLimit(bounds, Clock(), EventLog("node"))
     >>> limit.allows("u", 3.0)
     False
     """
