--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -110,7 +110,7 @@
         "BUDGET",
         "a doubled report counts once",
         f"{GATEWAY}/known/crashes.py",
-        "if told.id in self._known_ids:",
+        "if observation.id in self._known_ids:",
         "if False:",
         BOOK,
     ),
--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -220,7 +220,7 @@
         "RECOVER",
         "the last groups of a model stay",
         f"{GATEWAY}/fleet/allocation.py",
-        "most = totals[giving.name] - work.reserve(giving.name) - 1",
+        "most = totals[giving.name] - workload.reserve(giving.name) - 1",
         "most = totals[giving.name]",
         f"{GATEWAY}/fleet/tests/test_allocation.py -k last_groups",
     ),
--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -89,8 +89,8 @@
         "BUDGET",
         "a shorter rest ends no longer one",
         f"{GATEWAY}/known/notices.py",
-        "upstream_id: max(asked, before, key=lambda rest: rest.until)",
-        "upstream_id: asked",
+        "upstream_id: max(requested, earlier, key=lambda rest: rest.until)",
+        "upstream_id: requested",
         f"{APART} -k shorter",
     ),
     Breakage(
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -209,7 +209,7 @@
         if report.whole_list is not None:
             self._follower.take_coordinator_list(report.whole_list, asked_at - totals.list_age_s)
         if not report.is_list_unknown:
-            self._follower.take_passed(
+            self._follower.merge_coordinator_changes(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
             )
         self._cold_limit.set_number(report.number, totals.numbers, asked_at)
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -227,7 +227,7 @@
             self._total_loads,
             lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
-            self.follower.read_anew,
+            self.follower.read_now,
             self.clock,
             self.log,
         )
@@ -307,7 +307,7 @@
         return self.coordination.is_hub
 
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
-        self.notices.take(upstream, notice)
+        self.notices.record(upstream, notice)
         if notice.limit_per_s is not None:
             self.limits.record_answer(upstream.id, notice.limit_per_s)
 
