--- a/mulleinreach/gateway/fleet/duties.py
+++ b/mulleinreach/gateway/fleet/duties.py
@@ -22,21 +22,21 @@
 
     def spawn(self, duty: Coroutine, hosts: Iterable[Upstream]) -> None:
         """Run a duty that no other one may disturb on these hosts."""
-        taken = {host.id for host in hosts}
-        self._hosts.busy |= taken
-        self._tasks.spawn(self._guarded(duty, taken))
+        host_ids = {host.id for host in hosts}
+        self._hosts.busy |= host_ids
+        self._tasks.spawn(self._run(duty, host_ids))
 
     def spawn_probe(self, question: Coroutine) -> None:
         """Ask hosts something, which disturbs no duty."""
         self._tasks.spawn(question)
 
-    async def _guarded(self, duty: Coroutine, taken: set[str]) -> None:
+    async def _run(self, duty: Coroutine, host_ids: set[str]) -> None:
         try:
             await duty
         except LeaseLost:
             self._log.event("order_withheld", why="the lease has ended")
         finally:
-            self._hosts.busy -= taken
+            self._hosts.busy -= host_ids
             self.wake.set()
 
     async def close(self) -> None:
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -226,7 +226,9 @@
         deadline = self._clock.now() + OPEN_TIMEOUT_S
         while self._clock.now() < deadline:
             self._check_lease()
-            if not self._are_ready(group.name, group.epoch, [m.id for m in self._ranked(group)]):
+            if not self._are_ready(
+                group.name, group.epoch, [m.id for m in self._members_by_rank(group)]
+            ):
                 return Outcome.FAILED
             result = await self._orders.open(head, group.name, group.epoch, self._lease.token)
             self._handle_result("open", head, group.name, result)
@@ -259,7 +261,7 @@
             if await self._leave(head, group):
                 return None
             self._hosts.mark_lost(head.id)
-        members = [m for m in self._ranked(group) if head is None or m.id != head.id]
+        members = [m for m in self._members_by_rank(group) if head is None or m.id != head.id]
         alive = [m for m in members if not self._hosts.is_lost(m.id)]
         results = await asyncio.gather(*(self._leave(member, group) for member in alive))
         return {m.id for m, has_left in zip(alive, results, strict=True) if has_left}
@@ -330,7 +332,7 @@
                     await asyncio.gather(*(self.probe(member) for member in members))
         return True
 
-    def _ranked(self, group: Group) -> list[Upstream]:
+    def _members_by_rank(self, group: Group) -> list[Upstream]:
         return [group.members[rank] for rank in sorted(group.members)]
 
     def _check_lease(self) -> None:
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -169,8 +169,8 @@
 
         What a silent node told last would show progress that there is no more.
         """
-        heard = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
-        loads = {load.upstream_id: load for load in sum_loads(heard)}
+        reports = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
+        loads = {load.upstream_id: load for load in sum_loads(reports)}
         lost = {h.upstream.id for h in heads if self._hosts.is_lost(h.upstream.id)}
         return [
             assess_hall(hall, [h for h in heads if h.upstream.hall == hall], loads, lost, nodes)
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -128,12 +128,12 @@
 
         An answer shows in any case that the host is there.
         """
-        is_news = self._directory.apply_report(report, as_of)
+        is_newer = self._directory.apply_report(report, as_of)
         if not self.is_listed(report.id):
             self._ever_listed[report.id] = report
         self._lost_at.pop(report.id, None)
         self._paces[report.id] = (report.pace, self._clock.now())
-        return is_news
+        return is_newer
 
     def record_left(self, host: str, group: Group) -> None:
         """Note that a host took our order to leave a group, ahead of its row."""
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -55,7 +55,7 @@
     return [_domain(f"d{n}", f"hall-{n % 3}", **options) for n in range(6)]
 
 
-def _work(
+def _workload(
     demand: dict[str, float], views: list[DomainView], before: frozenset[str] = frozenset()
 ) -> Workload:
     workload = Workload(ENGINE.slots, demand)
@@ -64,7 +64,7 @@
 
 def _moves(views: list[DomainView], demand: dict[str, float]) -> list[str]:
     """Return the domains that move one after the other until no move is worth it."""
-    workload, moved = _work(demand, views), []
+    workload, moved = _workload(demand, views), []
     while (move := next_move(views, views, ENGINE, workload)) is not None:
         moved.append(move.domain)
         (view,) = [view for view in views if view.name == move.domain]
@@ -72,7 +72,7 @@
         counts[move.from_model] -= len(move.ended)
         counts[move.to_model] = move.count
         views[views.index(view)] = _domain(view.name, view.hall, **counts)
-        workload = _work(demand, views, workload.crowded)
+        workload = _workload(demand, views, workload.crowded)
         assert len(moved) <= MANY_MOVES
     return moved
 
@@ -104,27 +104,27 @@
     views = [_domain("unready", "hall-0", staged=LARGE), _domain("ready", "hall-1")] + _domains()[
         2:
     ]
-    move = next_move(views, views[:2], ENGINE, _work(FEW_LARGE_MANY_SMALL, views))
+    move = next_move(views, views[:2], ENGINE, _workload(FEW_LARGE_MANY_SMALL, views))
     assert (move.domain, move.is_ready) == ("ready", True)
 
 
 def test_hosts_of_a_lost_group_go_to_the_crowded_model():
     views = [_domain("d0", "hall-0", large=0)] + _domains()[1:]
-    crowded = allocate(views, ENGINE, _work(FEW_LARGE_MANY_SMALL, views))
+    crowded = allocate(views, ENGINE, _workload(FEW_LARGE_MANY_SMALL, views))
     assert crowded["d0"] == {LARGE: 0, SMALL: 4}
-    even = allocate(views, ENGINE, _work(EVEN, views))
+    even = allocate(views, ENGINE, _workload(EVEN, views))
     assert even["d0"] == {LARGE: 1, SMALL: 2}
 
 
 def test_model_that_has_nearly_lost_all_groups_is_formed_first():
     views = [_domain(f"d{n}", "hall", large=0, small=0) for n in range(2)]
-    targets = allocate(views, ENGINE, _work({LARGE: 0.5, SMALL: 190.0}, views))
+    targets = allocate(views, ENGINE, _workload({LARGE: 0.5, SMALL: 190.0}, views))
     assert sum(target[LARGE] for target in targets.values()) >= 1
 
 
 def test_crowded_model_goes_before_one_that_has_more_groups_and_no_requests():
     views = [_domain("d0", "hall", large=0, small=1), _domain("d1", "hall", large=1, small=1)]
-    targets = allocate(views, ENGINE, _work({LARGE: 15.0, SMALL: 0.0}, views))
+    targets = allocate(views, ENGINE, _workload({LARGE: 15.0, SMALL: 0.0}, views))
     assert targets["d0"][LARGE] == 1
 
 
@@ -257,11 +257,11 @@
 def test_moved_hosts_move_again_to_a_model_that_is_down_to_its_reserve():
     views = [_domain(f"d{n}", "hall", large=0, small=4) for n in range(4)]
     views += [_domain(f"e{n}", "hall", large=1, small=2) for n in range(2)]
-    workload = _work({LARGE: 40.0, SMALL: 100.0}, views)
+    workload = _workload({LARGE: 40.0, SMALL: 100.0}, views)
     move = next_move(views, views, ENGINE, workload, cooling_down={SMALL})
     assert (move.from_model, move.to_model) == (SMALL, LARGE)
     views[0] = _domain("d0", "hall", large=1, small=2)
-    workload = _work({LARGE: 60.0, SMALL: 100.0}, views)
+    workload = _workload({LARGE: 60.0, SMALL: 100.0}, views)
     assert next_move(views, views, ENGINE, workload, cooling_down={SMALL}) is None
     assert next_move(views, views, ENGINE, workload) is not None
 
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -40,7 +40,7 @@
 COLD_S = 6.0
 
 
-class _Callers:
+class _Clients:
     """Callers of all nodes, who ask for streams for ever and go away with their node."""
 
     def __init__(self, world: GatewayWorld):
@@ -65,13 +65,13 @@
             task.cancel()
 
 
-async def _serve(world: GatewayWorld) -> _Callers:
+async def _start_traffic(world: GatewayWorld) -> _Clients:
     """Have all groups formed, and requests run at them for a while."""
     await world.until_formed()
     await asyncio.sleep(4)
-    callers = _Callers(world)
+    clients = _Clients(world)
     await asyncio.sleep(2)
-    return callers
+    return clients
 
 
 def _hall_of_coordinator(world: GatewayWorld) -> str:
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("loses_coordinator", [False, True])
 def test_hall_that_fails_is_lost_as_a_whole_and_gets_no_orders(loses_coordinator):
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         hall = _hall_of_coordinator(world) if loses_coordinator else _another_hall(world)
         await world.add_plain("desk", _never, hall)
         await asyncio.sleep(1)
@@ -106,7 +106,7 @@
         await asyncio.sleep(5)
         assert _orders_into(world, hall) == orders
         assert _is_reported_lost(world, hall)
-        callers.stop()
+        clients.stop()
         assert detected_after_s < (
             MAX_DETECTION_AFTER_TAKEOVER_S if loses_coordinator else MAX_DETECTION_S
         )
@@ -120,21 +120,21 @@
 
 def test_slow_hall_with_a_silent_node_and_a_stalled_group_is_not_down():
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         hall = _another_hall(world)
         for host in world.hosts_in(hall):
             host.pace = 4.0
         await world.kill_node(next(n for n, node in world.nodes.items() if _is_in(node, hall)))
         _an_open_head(world, hall).is_dark = True
         assert await _down_halls_within(world, 3) == set()
-        callers.stop()
+        clients.stop()
 
     run_world(test, **HALLS)
 
 
 def test_coordinator_whose_hall_is_cut_off_detects_no_failure():
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         own = _hall_of_coordinator(world)
         inside = [name for name, node in world.nodes.items() if _is_in(node, own)]
         outside = [name for name in world.nodes if name not in inside]
@@ -145,7 +145,7 @@
             for host in hosts:
                 world.links.cut(name, host)
         assert await _down_halls_within(world, 2) == set()
-        callers.stop()
+        clients.stop()
 
     run_world(test, **HALLS)
 
@@ -176,7 +176,7 @@
 @pytest.mark.parametrize("is_replaced", [False, True])
 def test_recovered_hall_serves_again_within_the_load_limit(is_replaced):
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         hall = _another_hall(world)
         lost = world.hosts_in(hall)
         await world.lose_hall(hall)
@@ -194,7 +194,7 @@
         # One of each model in both domains.
         assert _open_groups_in(world, hall) >= 4
         assert most_loads <= PROFILE.max_concurrent_loads
-        callers.stop()
+        clients.stop()
 
     run_world(test, **HALLS)
 
@@ -290,13 +290,13 @@
 
 # The signs, one by one.
 
-STILL = LoadReport("", 2, 0, 2.0, 2.0)
-MOVING = LoadReport("", 2, 0, 0.05, 2.0)
+STALLED = LoadReport("", 2, 0, 2.0, 2.0)
+PROGRESSING = LoadReport("", 2, 0, 0.05, 2.0)
 JUST_SENT = LoadReport("", 1, 0, 1000.0, 0.1)
 
 
 def _detected_halls(
-    loads: list[LoadReport], nodes_silent_s: list[float], third=MOVING
+    loads: list[LoadReport], nodes_silent_s: list[float], third=PROGRESSING
 ) -> list[str]:
     """Return the halls that are found to be down by the loads of heads and the nodes of ``a``."""
     heads = [
@@ -306,7 +306,7 @@
     loads_by_head = {f"a{n}": load for n, load in enumerate(loads)}
     nodes = [RecentNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
     signs = [assess_hall("a", heads, loads_by_head, set(), nodes)]
-    for hall, load in (("b", MOVING), ("c", third)):
+    for hall, load in (("b", PROGRESSING), ("c", third)):
         head = Head(make_upstream(hall, MODEL_SERVICE, 9, "d", hall), hall, 1, LARGE)
         signs.append(assess_hall(hall, [head], {hall: load}, set(), nodes))
     return [found.hall for found in failed_halls(signs, own_hall="b")]
@@ -315,16 +315,16 @@
 @pytest.mark.parametrize(
     ("loads", "nodes_silent_s", "is_down"),
     [
-        ([STILL, STILL], [0.7, 0.8], True),
-        ([STILL, STILL, JUST_SENT], [0.7, 0.8], True),
-        ([STILL, STILL, STILL, MOVING], [0.7, 0.8], False),
-        ([STILL, STILL, STILL, STILL], [0.7, 0.2], False),
-        ([STILL], [0.7, 0.8], False),
+        ([STALLED, STALLED], [0.7, 0.8], True),
+        ([STALLED, STALLED, JUST_SENT], [0.7, 0.8], True),
+        ([STALLED, STALLED, STALLED, PROGRESSING], [0.7, 0.8], False),
+        ([STALLED, STALLED, STALLED, STALLED], [0.7, 0.2], False),
+        ([STALLED], [0.7, 0.8], False),
         ([JUST_SENT, JUST_SENT], [0.7, 0.8], False),
         ([], [0.7, 0.8], False),
-        ([STILL, STILL], [], True),
-        ([STILL], [], False),
-        ([replace(STILL, oldest_s=0.5)] * 4, [], False),
+        ([STALLED, STALLED], [], True),
+        ([STALLED], [], False),
+        ([replace(STALLED, oldest_s=0.5)] * 4, [], False),
     ],
 )
 def test_hall_failure_is_detected_from_its_health(loads, nodes_silent_s, is_down):
@@ -332,5 +332,5 @@
 
 
 def test_no_failure_is_detected_without_progress_in_a_third_hall():
-    assert _detected_halls([STILL, STILL], [0.7]) == ["a"]
-    assert _detected_halls([STILL, STILL], [0.7], third=STILL) == []
+    assert _detected_halls([STALLED, STALLED], [0.7]) == ["a"]
+    assert _detected_halls([STALLED, STALLED], [0.7], third=STALLED) == []
--- a/mulleinreach/gateway/fleet/tests/test_planner.py
+++ b/mulleinreach/gateway/fleet/tests/test_planner.py
@@ -53,9 +53,9 @@
     assert target_groups(view, MODELS) == {LARGE: 0, SMALL: 2}
     loads = plan_standbys(view, MODELS, target_groups(view, MODELS))
     assert [plan.model for plan in loads] == [SMALL] * 3
-    calm = _view(5, {SMALL: 1}, MODERATE_USAGE, *survivors)
+    moderate = _view(5, {SMALL: 1}, MODERATE_USAGE, *survivors)
     # One of them stands by for the group that serves; the others wait for a fourth host.
-    plans = plan_standbys(calm, MODELS, target_groups(calm, MODELS))
+    plans = plan_standbys(moderate, MODELS, target_groups(moderate, MODELS))
     assert [plan.model for plan in plans] == [SMALL]
 
 
@@ -68,10 +68,10 @@
 def test_standbys_that_hold_a_full_model_form_a_group_at_once():
     free = [FreeHost("a", SMALL, (SMALL,)), FreeHost("b", SMALL, (SMALL,))]
     groups = {LARGE: 1, SMALL: 1}
-    full, calm = _view(8, groups, SMALL_IS_FULL, *free), _view(8, groups, MODERATE_USAGE, *free)
+    full, moderate = _view(8, groups, SMALL_IS_FULL, *free), _view(8, groups, MODERATE_USAGE, *free)
     (plan,) = plan_groups(full, MODELS, target_groups(full, MODELS))
     assert (plan.model, plan.members) == (SMALL, ("a", "b"))
-    assert plan_groups(calm, MODELS, target_groups(calm, MODELS)) == []
+    assert plan_groups(moderate, MODELS, target_groups(moderate, MODELS)) == []
 
 
 def _head(name: str, model: str) -> Head:
--- a/mulleinreach/gateway/fleet/tests/test_staging.py
+++ b/mulleinreach/gateway/fleet/tests/test_staging.py
@@ -99,11 +99,11 @@
 
 def test_host_that_refuses_a_second_model_is_not_asked_again_at_once():
     async def test(world):
-        asked: list[str] = []
+        staging_requests: list[str] = []
         refusing = world.fabric.hosts["host-0-0"]
-        refusing.stage = lambda model: asked.append(model) or Rejected(409)
+        refusing.stage = lambda model: staging_requests.append(model) or Rejected(409)
         await world.until_formed()
         await asyncio.sleep(6)
-        assert len(asked) == 1
+        assert len(staging_requests) == 1
 
     run_world(test)
