--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -50,7 +50,7 @@
     @rule(sender=st.integers(0, NODES - 1), receiver=st.integers(0, NODES - 1))
     def observations_are_sent(self, sender, receiver):
         sent_holds = self.harnesses[sender].tracker.own_observations(includes_old=True)
-        self._note_decisions(lambda: self.harnesses[receiver].tracker.take(sent_holds))
+        self._note_decisions(lambda: self.harnesses[receiver].tracker.record(sent_holds))
 
     @rule(sender=st.integers(0, NODES - 1), transit_s=TRANSIT_S)
     def holds_are_sent(self, sender, transit_s):
