--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -113,8 +113,8 @@
     sizes = [s.hosts_per_replica for s in view.config.intent.services if s.kind == "model"]
     fragments = unusable_hosts(len(free) - size, sizes) - unusable_hosts(len(free), sizes)
     wanted = fair_spares(view)
-    short = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
-    cost = spread / max(1, service.replicas) + fragments + SPARE_WEIGHT * short / size
+    spare_shortfall = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
+    cost = spread / max(1, service.replicas) + fragments + SPARE_WEIGHT * spare_shortfall / size
     return DomainChoice(domain, len(free), cost, pick_hosts(free, size))
 
 
