--- a/mulleinreach/groups/watch.py
+++ b/mulleinreach/groups/watch.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Sighting:
+class StatusObservation:
     """A status, and the monotonic time before which it was asked for."""
 
     status: EngineStatus
@@ -36,7 +36,7 @@
     return status.replica == replica and status.epoch == epoch and status.state == "ready"
 
 
-class HostWatch:
+class HostPoller:
     """Asks hosts for their status; one task for each host that this node watches."""
 
     def __init__(
@@ -57,7 +57,7 @@
         self._addresses: dict[str, Address] = {}
         self._groups: dict[str, GroupRecord] = {}
         self._told_broken: dict[str, int] = {}
-        self.sightings: dict[str, Sighting] = {}
+        self.host_observations: dict[str, StatusObservation] = {}
 
     def assign(self, addresses: dict[str, Address], groups: list[GroupRecord]) -> None:
         """Watch exactly the hosts in ``addresses``; ``groups`` are those that we report."""
@@ -65,7 +65,7 @@
         for host in list(self._pollers):
             if addresses.get(host) != self._addresses.get(host):
                 self._pollers.pop(host).cancel()
-                self.sightings.pop(host, None)
+                self.host_observations.pop(host, None)
         self._addresses = dict(addresses)
         for host in addresses:
             if host not in self._pollers:
@@ -76,12 +76,12 @@
             asked_at = self._clock.now()
             status = await self._engines.status(self._addresses[host], host)
             if status is not None:
-                self._take(host, Sighting(status, asked_at))
+                self._take(host, StatusObservation(status, asked_at))
             await asyncio.sleep(self._interval_s)
 
-    def _take(self, host: str, sighting: Sighting) -> None:
-        before = self.sightings.get(host)
-        self.sightings[host] = sighting
+    def _take(self, host: str, sighting: StatusObservation) -> None:
+        before = self.host_observations.get(host)
+        self.host_observations[host] = sighting
         group = self._groups.get(host)
         if group is None or before is None:
             return
@@ -99,20 +99,20 @@
     def report_hosts(self) -> list[HostReport]:
         """Return what is known of each watched host."""
         now = self._clock.now()
-        return [_report_host(s, now) for s in self.sightings.values()]
+        return [_report_host(s, now) for s in self.host_observations.values()]
 
     def report_replica(self, group: GroupRecord, sent: int) -> ReplicaReport | None:
         """Return what is known of a group, or ``None`` while a member was never seen."""
-        sightings = [self.sightings.get(host) for host in group.hosts]
-        if any(sighting is None for sighting in sightings):
+        host_observations = [self.host_observations.get(host) for host in group.hosts]
+        if any(sighting is None for sighting in host_observations):
             return None
         now = self._clock.now()
-        head = sightings[0].status
-        ready = [is_member_ready(s.status, group.replica, group.epoch) for s in sightings]
+        head = host_observations[0].status
+        ready = [is_member_ready(s.status, group.replica, group.epoch) for s in host_observations]
         return ReplicaReport(
             epoch=group.epoch,
             whole=all(ready),
-            age_ms=int(1000 * (now - min(s.asked_at for s in sightings))),
+            age_ms=int(1000 * (now - min(s.asked_at for s in host_observations))),
             running=head.running,
             waiting=head.waiting,
             slots=head.slots,
@@ -120,7 +120,7 @@
         )
 
 
-def _report_host(sighting: Sighting, now: float) -> HostReport:
+def _report_host(sighting: StatusObservation, now: float) -> HostReport:
     status = sighting.status
     return HostReport(
         host=status.host,
@@ -147,7 +147,7 @@
 
 
 @dataclass
-class ReplicaEvidence:
+class ReplicaStatus:
     """What a node knows of a replica; times on its own monotonic clock."""
 
     epoch: int
@@ -158,7 +158,7 @@
     reported_at: float = NEVER
 
 
-class WholenessView:
+class ReplicaHealthTracker:
     """Which replicas are known, by fresh evidence, to be whole.
 
     Explanation
@@ -171,14 +171,14 @@
     def __init__(self, clock: Clock, fresh_s: float):
         self._clock = clock
         self._fresh_s = fresh_s
-        self._evidence: dict[str, ReplicaEvidence] = {}
+        self._evidence: dict[str, ReplicaStatus] = {}
         self._withdrawn_at: dict[str, tuple[int, float]] = {}
 
-    def take(self, replica: str, report: ReplicaReport, asked_at: float) -> None:
+    def record_report(self, replica: str, report: ReplicaReport, asked_at: float) -> None:
         """Take in a report on ``replica`` whose answer was asked for at ``asked_at``."""
         known = self._evidence.get(replica)
         if known is None or report.epoch > known.epoch:
-            known = self._evidence[replica] = ReplicaEvidence(report.epoch)
+            known = self._evidence[replica] = ReplicaStatus(report.epoch)
         if report.epoch < known.epoch:
             return
         confirmed_at = asked_at - report.age_ms / 1000
@@ -208,7 +208,7 @@
             return False
         return self._clock.now() - known.confirmed_at < self._fresh_s
 
-    def evidence(self, replica: str) -> ReplicaEvidence | None:
+    def evidence(self, replica: str) -> ReplicaStatus | None:
         """Return what is known of a replica, for routing and explanations."""
         return self._evidence.get(replica)
 
