--- a/mulleinreach/groups/controller.py
+++ b/mulleinreach/groups/controller.py
@@ -17,7 +17,7 @@
 
 from mulleinreach.audit import AuditTrail
 from mulleinreach.common import Address, Clock, EventLog, TaskGroup
-from mulleinreach.groups.ledger import OrderLedger, is_order_seen, is_process_gone, is_stopped
+from mulleinreach.groups.ledger import OrderTracker, is_order_seen, is_process_gone, is_stopped
 from mulleinreach.groups.model import (
     GROUPS_PREFIX,
     HOSTS_PREFIX,
@@ -126,7 +126,7 @@
         self._reports = reports
         self._config = config
         self._lost_after_s = lost_after_s
-        self._ledger = OrderLedger()
+        self._ledger = OrderTracker()
         self._tasks = TaskGroup()
         self._sending: set[str] = set()
         self._held_since: float | None = None
@@ -160,7 +160,7 @@
         now = self._clock.now()
         if self._held_since is None:
             self._held_since = now
-            self._ledger = OrderLedger()
+            self._ledger = OrderTracker()
         watched_s = now - self._held_since
         return self._directory.was_read and watched_s > self._lost_after_s
 
--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True)
 class Shortage:
-    """No domain can hold the replica; ``short`` is how many hosts the best one lacks."""
+    """No domain can hold the replica; ``missing_hosts`` is how many hosts the best one lacks."""
 
-    short: int
+    missing_hosts: int
     weighed: tuple[DomainChoice, ...]
 
 
--- a/mulleinreach/groups/ledger.py
+++ b/mulleinreach/groups/ledger.py
@@ -24,7 +24,7 @@
 from mulleinreach.stores import HostState
 
 
-class OrderLedger:
+class OrderTracker:
     """The answers that this holder of the duty has received."""
 
     def __init__(self) -> None:
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -16,7 +16,7 @@
 from mulleinreach.groups.formation import Placement, Shortage, place_replica
 from mulleinreach.groups.model import GroupRecord, GroupState, HostRecord, HostUse
 from mulleinreach.groups.repair import (
-    LoadModel,
+    LoadTimeModel,
     RepairKind,
     RepairOption,
     RepairPlanner,
@@ -64,7 +64,7 @@
     """Forms, repairs, drains and dissolves groups so that they fit the intent."""
 
     def __init__(
-        self, loads: LoadModel, unchecked_domains: frozenset[str], drain_deadline_s: float
+        self, loads: LoadTimeModel, unchecked_domains: frozenset[str], drain_deadline_s: float
     ):
         self._repairs = RepairPlanner(loads)
         self._unchecked = unchecked_domains
@@ -123,7 +123,7 @@
     def tend(self, group: GroupRecord, is_drained) -> None:
         """Decide about a group that exists."""
         view = self._view
-        if group.replica in view.taken:
+        if group.replica in view.reserved_names:
             return
         lost = view.lost_members(group)
         service = view.config.intent.service(group.service)
@@ -131,14 +131,14 @@
             self._dissolve(group, "its service was removed and a member is lost")
         elif group.state is GroupState.DRAINING:
             self._finish_drain(group, lost, is_drained)
-        elif lost and view.is_condemned(group):
+        elif lost and view.needs_replacement(group):
             self._dissolve(group, f"lost {', '.join(lost)} while it was to be replaced")
         elif lost:
             self._repair(group, lost)
         elif group.state is GroupState.LOADING and view.is_ready(group):
             serving = replace(group, state=GroupState.SERVING)
             self._add(Change("serve", group.replica, "all members are ready", group=serving))
-        elif view.is_condemned(group) or self._is_surplus(group):
+        elif view.needs_replacement(group) or self._is_surplus(group):
             self._condemn(group)
 
     def _finish_drain(self, group: GroupRecord, lost: list[str], is_drained) -> None:
@@ -156,9 +156,9 @@
         why = f"lost {', '.join(lost)}; {weighed}"
         self.decision.notes[group.replica] = why
         if options and options[0].kind is not RepairKind.WAIT:
-            self._regroup(group, options[0], f"{options[0].kind}: {why}")
+            self._replace_members(group, options[0], f"{options[0].kind}: {why}")
 
-    def _regroup(self, group: GroupRecord, option: RepairOption, why: str) -> None:
+    def _replace_members(self, group: GroupRecord, option: RepairOption, why: str) -> None:
         new_group = self._new_group(
             group.replica, group.service, option.domain, option.hosts, why, group.version
         )
@@ -195,13 +195,13 @@
         view = self._view
         service = view.config.intent.service(group.service)
         if service is not None and not self._is_surplus(group):
-            others = [g for g in view.groups_of(group.service) if not view.is_condemned(g)]
+            others = [g for g in view.groups_of(group.service) if not view.needs_replacement(g)]
             serving = sum(g.state is GroupState.SERVING for g in others)
             can_replace = isinstance(place_replica(view, service), Placement)
             if serving < service.replicas and (can_replace or len(others) > serving):
                 return
             draining = any(
-                g.state is GroupState.DRAINING or g.replica in view.taken
+                g.state is GroupState.DRAINING or g.replica in view.reserved_names
                 for g in view.groups_of(group.service)
             )
             if serving < service.replicas and draining:
@@ -231,7 +231,7 @@
         for group in self._view.groups:
             if self._view.config.intent.service(group.service) is None:
                 surplus.add(group.replica)
-            elif not self._view.is_condemned(group):
+            elif not self._view.needs_replacement(group):
                 staying.setdefault(group.service, []).append(group.replica)
         for name, replicas in staying.items():
             wanted = self._view.config.intent.service(name).replicas
@@ -241,7 +241,7 @@
     def fill(self, service: ServiceIntent, most_changes: int = UNLIMITED) -> None:
         """Form the replicas that a service lacks."""
         view = self._view
-        staying = [g for g in view.groups_of(service.name) if not view.is_condemned(g)]
+        staying = [g for g in view.groups_of(service.name) if not view.needs_replacement(g)]
         held = len(staying)
         while held < service.replicas and len(self.decision.changes) < most_changes:
             placement = place_replica(view, service)
@@ -253,7 +253,11 @@
             else:
                 why = f"{service.name} wants {service.replicas}, has {held}; {weighed}"
                 group = self._new_group(
-                    self._free_name(service), service.name, placement.domain, placement.hosts, why
+                    self._next_replica_name(service),
+                    service.name,
+                    placement.domain,
+                    placement.hosts,
+                    why,
                 )
                 rows = tuple(self._member_rows(group))
                 self._add(Change("form", group.replica, why, group=group, hosts=rows))
@@ -267,20 +271,20 @@
             return False
         why = "; ".join(option.explain() for option in options)
         group = self._new_group(
-            self._free_name(service), service.name, best.domain, best.hosts, why
+            self._next_replica_name(service), service.name, best.domain, best.hosts, why
         )
         self._carry_out("form", group, best, why, [])
         return True
 
     def _note_shortage(self, service: ServiceIntent, shortage: Shortage, weighed: str) -> None:
         self.decision.notes[service.name] = (
-            f"{service.name} lacks replicas: {shortage.short} more hosts needed in one"
+            f"{service.name} lacks replicas: {shortage.missing_hosts} more hosts needed in one"
             f" domain; {weighed}"
         )
 
-    def _free_name(self, service: ServiceIntent) -> str:
-        taken = {group.replica for group in self._view.groups} | self._view.taken
-        return _free_name(service.name, taken)
+    def _next_replica_name(self, service: ServiceIntent) -> str:
+        reserved_names = {group.replica for group in self._view.groups} | self._view.reserved_names
+        return _next_replica_name(service.name, reserved_names)
 
     def _new_group(self, replica, service_name, domain, hosts, why, version=0) -> GroupRecord:
         service = self._view.config.intent.service(service_name)
@@ -339,9 +343,9 @@
 
     def _add(self, change: Change) -> None:
         self.decision.changes.append(change)
-        self._view.taken.update(row.name for row in change.hosts)
-        self._view.taken.add(change.subject)
-        self._view.taken.update(group.replica for group in change.removed)
+        self._view.reserved_names.update(row.name for row in change.hosts)
+        self._view.reserved_names.add(change.subject)
+        self._view.reserved_names.update(group.replica for group in change.removed)
         gone = {group.replica for group in change.removed}
         if gone:
             self._view.groups[:] = [g for g in self._view.groups if g.replica not in gone]
@@ -355,9 +359,9 @@
         return self._epoch
 
 
-def _free_name(service: str, taken: set[str]) -> str:
+def _next_replica_name(service: str, reserved_names: set[str]) -> str:
     number = 1
-    while f"{service}-{number}" in taken:
+    while f"{service}-{number}" in reserved_names:
         number += 1
     return f"{service}-{number}"
 
--- a/mulleinreach/groups/repair.py
+++ b/mulleinreach/groups/repair.py
@@ -49,24 +49,24 @@
 
 
 @dataclass(frozen=True)
-class LoadModel:
-    """How long loads take: the weight store serves ``streams`` hosts at once."""
+class LoadTimeModel:
+    """How long loads take: the weight store serves ``parallel_loads`` hosts at once."""
 
     host_load_s: float
-    streams: int
+    parallel_loads: int
 
-    def seconds(self, hosts: int, busy: int = 0) -> float:
+    def load_seconds(self, hosts: int, busy: int = 0) -> float:
         """Return when ``hosts`` more hosts have loaded, behind ``busy`` others.
 
         Examples
         ========
 
-        >>> LoadModel(60.0, 4).seconds(4, busy=2)
+        >>> LoadTimeModel(60.0, 4).load_seconds(4, busy=2)
         120.0
         """
         if hosts == 0:
             return 0.0
-        return math.ceil((busy + hosts) / self.streams) * self.host_load_s
+        return math.ceil((busy + hosts) / self.parallel_loads) * self.host_load_s
 
 
 @dataclass(frozen=True)
@@ -126,7 +126,7 @@
 class RepairPlanner:
     """Weighs the ways to bring one replica back."""
 
-    def __init__(self, loads: LoadModel):
+    def __init__(self, loads: LoadTimeModel):
         self._loads = loads
 
     def weigh_group(self, view: FleetView, group: GroupRecord, busy: int) -> list[RepairOption]:
@@ -207,7 +207,7 @@
 
     def _wait(self, view, service, group, lost, busy) -> RepairOption:
         absence = self._absence(view, lost)
-        load = self._loads.seconds(len(lost), busy)
+        load = self._loads.load_seconds(len(lost), busy)
         is_maybe_pause = all(
             view.hosts[n].lost and view.hosts[n].absent_s < PAUSE_S for n in lost if n in view.hosts
         )
@@ -254,7 +254,7 @@
         in_place = group is not None and group.domain == domain
         lost = view.lost_members(group) if group else []
         kept = len([n for n in group.hosts if n not in lost]) if in_place else 0
-        down = self._loads.seconds(len(hosts) - kept, busy)
+        down = self._loads.load_seconds(len(hosts) - kept, busy)
         # Each load takes the store from others that may need it.
         idle = len(hosts) * down + STORE_SHARE_S * (len(hosts) - kept)
         if group is not None and not in_place:
@@ -301,18 +301,20 @@
 
     def _weigh_victim(self, view, service, group: GroupRecord, busy: int) -> Victim | None:
         owner = view.config.intent.service(group.service)
-        if owner is None or group.replica in view.taken:
+        if owner is None or group.replica in view.reserved_names:
             return None
         lost = view.lost_members(group)
         hosts = tuple(n for n in group.hosts if not self._is_gone(view, n))
-        reload_s = self._loads.seconds(len(group.hosts), busy)
+        reload_s = self._loads.load_seconds(len(group.hosts), busy)
         if self._fits_elsewhere(view, owner, group.domain):
             down = reload_s
         else:
             down = reload_s + self._shortest_absence(view)
         if lost:
             # It is down already: it loses only what its own wait is shorter by.
-            down = max(0.0, down - self._absence(view, lost) - self._loads.seconds(len(lost), busy))
+            down = max(
+                0.0, down - self._absence(view, lost) - self._loads.load_seconds(len(lost), busy)
+            )
         idle = max(0, len(hosts) - len(lost)) * min(down, reload_s)
         weights = view.config.intent.measures
         cost = down * downtime_weight(weights, owner) + idle * weights.stranded_accelerators
--- a/mulleinreach/node.py
+++ b/mulleinreach/node.py
@@ -18,7 +18,7 @@
 from mulleinreach.groups.controller import DUTY, GroupController
 from mulleinreach.groups.model import GroupState
 from mulleinreach.groups.planner import FleetPlanner
-from mulleinreach.groups.repair import LoadModel
+from mulleinreach.groups.repair import LoadTimeModel
 from mulleinreach.groups.watch import HostPoller, ReplicaHealthTracker
 from mulleinreach.housekeeping import Housekeeping
 from mulleinreach.intents import ConfigInForce
@@ -191,7 +191,7 @@
             timing.peer_ping_s,
             timing.evidence_fresh_s,
         )
-        loads = LoadModel(engines.host_load_s, engines.load_streams)
+        loads = LoadTimeModel(engines.host_load_s, engines.load_streams)
         planner = FleetPlanner(loads, frozenset(engines.unchecked_domains), timing.drain_deadline_s)
         self.lease = self._make_lease(DUTY)
         self.controller = GroupController(
