--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True)
 class Shortage:
-    """No domain can hold the replica; ``missing_hosts`` is how many hosts the best one lacks."""
+    """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
 
-    missing_hosts: int
+    needed: int
     weighed: tuple[DomainChoice, ...]
 
 
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -278,7 +278,7 @@
 
     def _note_shortage(self, service: ServiceIntent, shortage: Shortage, weighed: str) -> None:
         self.decision.notes[service.name] = (
-            f"{service.name} lacks replicas: {shortage.missing_hosts} more hosts needed in one"
+            f"{service.name} lacks replicas: {shortage.needed} more hosts needed in one"
             f" domain; {weighed}"
         )
 
--- a/mulleinreach/groups/tests/test_repair.py
+++ b/mulleinreach/groups/tests/test_repair.py
@@ -194,7 +194,7 @@
     fleet = Fleet([service("s", 16, 1)], {"a": 6, "b": 4})
     placement = place_replica(fleet.view(), fleet.config.intent.service("s"))
     assert isinstance(placement, Shortage)
-    assert placement.missing_hosts == 10
+    assert placement.needed == 10
 
 
 def test_a_replica_goes_into_as_few_racks_as_it_can():
--- a/mulleinreach/intents/preview.py
+++ b/mulleinreach/intents/preview.py
@@ -112,5 +112,5 @@
     return (
         f"{service.name}: {placed} of {service.replicas} replicas fit;"
         f" the other {missing} need {missing * service.hosts_per_replica} hosts in domains of"
-        f" {service.hosts_per_replica}, {free} are left, the fullest domain lacks {shortage.missing_hosts}"
+        f" {service.hosts_per_replica}, {free} are left, the fullest domain lacks {shortage.needed}"
     )
