--- a/mulleinreach/groups/controller.py
+++ b/mulleinreach/groups/controller.py
@@ -17,7 +17,12 @@
 
 from mulleinreach.audit import AuditTrail
 from mulleinreach.common import Address, Clock, EventLog, TaskGroup
-from mulleinreach.groups.ledger import OrderTracker, is_order_seen, is_process_gone, is_stopped
+from mulleinreach.groups.ledger import (
+    OrderTracker,
+    has_process_ended,
+    is_latest_order_done,
+    is_stopped,
+)
 from mulleinreach.groups.model import (
     GROUPS_PREFIX,
     HOSTS_PREFIX,
@@ -45,8 +50,8 @@
 
 DUTY = "groups"
 EPOCH_KEY = "state/epoch"
-RESEND_S = 5.0
-DRAIN_SETTLE_S = 3.0
+RESEND_INTERVAL_S = 5.0
+MIN_DRAIN_S = 3.0
 MAX_CHANGES_PER_ROUND = 20
 
 HostReports = Callable[[], dict[str, tuple[HostReport, float]]]
@@ -178,7 +183,7 @@
 
     async def _settle(self) -> None:
         """Write down which orders are settled and which hosts are free again."""
-        settled = [self._ledger.settle(host) for host in self.view().hosts.values()]
+        settled = [self._ledger.updated_record(host) for host in self.view().hosts.values()]
         rows = [record for record in settled if record is not None]
         if rows:
             await self._commit_rows(rows, [])
@@ -211,7 +216,7 @@
                 return False
             waited_s = view.wall - group.since
             # The status must have been asked for after every node stopped sending.
-            settled = waited_s - head.absent_s > DRAIN_SETTLE_S
+            settled = waited_s - head.absent_s > MIN_DRAIN_S
             return settled and head.report.in_flight == 0
 
         return is_drained
@@ -262,25 +267,25 @@
 
     def _needs_order(self, host: HostView) -> bool:
         record = host.record
-        if record.use is HostUse.FREE or host.lost or is_process_gone(host):
+        if record.use is HostUse.FREE or host.lost or has_process_ended(host):
             return False
-        if is_order_seen(host) or (record.use is HostUse.STOPPING and is_stopped(host)):
+        if is_latest_order_done(host) or (record.use is HostUse.STOPPING and is_stopped(host)):
             return False
         sent_at = self._ledger.sent_at(record)
-        return sent_at is None or self._clock.now() - sent_at > RESEND_S
+        return sent_at is None or self._clock.now() - sent_at > RESEND_INTERVAL_S
 
     async def _send_order(self, host: HostView) -> None:
         try:
             record = await self._prepare_copy(host.record)
             if record is None or not self._lease.is_held():
                 return
-            self._ledger.note_sent(record, self._clock.now())
+            self._ledger.record_sent_order(record, self._clock.now())
             order = self._order_of(record)
             if order is None:
                 return
             address = Address.parse(host.host.address)
             result = await self._engines.order(address, order)
-            self._ledger.note_result(record, result)
+            self._ledger.record_order_result(record, result)
             self._log.event("order_sent", host=host.name, order=record.order_id, result=str(result))
         finally:
             self._sending.discard(host.name)
--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -18,13 +18,13 @@
 from mulleinreach.groups.view import FleetView, HostView
 from mulleinreach.intents import ServiceIntent
 
-SPREAD_WEIGHT = 4.0
-HALL_WEIGHT = 2.0
-SPARE_WEIGHT = 2.0
+DOMAIN_SPREAD_WEIGHT = 4.0
+HALL_SPREAD_WEIGHT = 2.0
+SPARE_SHORTFALL_WEIGHT = 2.0
 
 
 @dataclass(frozen=True)
-class DomainChoice:
+class DomainCandidate:
     """A domain that was weighed; ``cost`` is ``None`` where it has too few hosts."""
 
     domain: str
@@ -45,7 +45,7 @@
 
     domain: str
     hosts: tuple[str, ...]
-    weighed: tuple[DomainChoice, ...]
+    weighed: tuple[DomainCandidate, ...]
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
     """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
 
     needed: int
-    weighed: tuple[DomainChoice, ...]
+    weighed: tuple[DomainCandidate, ...]
 
 
 def unusable_hosts(free: int, sizes: list[int]) -> int:
@@ -101,24 +101,28 @@
 
 def _weigh_domain(
     view: FleetView, service: ServiceIntent, domain: str, free: list[HostView]
-) -> DomainChoice:
+) -> DomainCandidate:
     size = service.hosts_per_replica
     if len(free) < size:
-        return DomainChoice(domain, len(free), None)
+        return DomainCandidate(domain, len(free), None)
     own = view.groups_of(service.name)
     in_domain = sum(group.domain == domain for group in own)
     hall = free[0].host.hall
     in_hall = sum(_hall_of(view, group.head) == hall for group in own)
-    spread = SPREAD_WEIGHT * in_domain + HALL_WEIGHT * in_hall
+    spread = DOMAIN_SPREAD_WEIGHT * in_domain + HALL_SPREAD_WEIGHT * in_hall
     sizes = [s.hosts_per_replica for s in view.config.intent.services if s.kind == "model"]
     fragments = unusable_hosts(len(free) - size, sizes) - unusable_hosts(len(free), sizes)
-    wanted = fair_spares(view)
+    wanted = spare_hosts_per_domain(view)
     spare_shortfall = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
-    cost = spread / max(1, service.replicas) + fragments + SPARE_WEIGHT * spare_shortfall / size
-    return DomainChoice(domain, len(free), cost, pick_hosts(free, size))
+    cost = (
+        spread / max(1, service.replicas)
+        + fragments
+        + SPARE_SHORTFALL_WEIGHT * spare_shortfall / size
+    )
+    return DomainCandidate(domain, len(free), cost, pick_hosts(free, size))
 
 
-def fair_spares(view: FleetView) -> float:
+def spare_hosts_per_domain(view: FleetView) -> float:
     """Return how many hosts a domain keeps free if each has its share of what is left over.
 
     A spare helps only in its own domain, so what the intent leaves over is best
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -27,7 +27,7 @@
 from mulleinreach.intents import ServiceIntent
 
 UNLIMITED = 1_000_000
-MAX_WHY_CHARS = 2_000
+MAX_REASON_CHARS = 2_000
 
 
 @dataclass(frozen=True)
@@ -76,7 +76,7 @@
         epoch: int,
         is_drained: Callable[[GroupRecord], bool],
         lease_epoch: int,
-        most_changes: int = UNLIMITED,
+        max_changes: int = UNLIMITED,
     ) -> Decision:
         """Return the next changes.
 
@@ -86,14 +86,14 @@
         epoch : the last epoch in use; each new group gets a higher one.
         is_drained : tells whether a draining group has no work in flight.
         lease_epoch : the epoch of the lease under which orders will be sent.
-        most_changes : where to stop, so that a round stays short; the next goes on.
+        max_changes : where to stop, so that a round stays short; the next goes on.
         """
         round_ = _Round(self, view, epoch, lease_epoch)
         for group in sorted(view.groups, key=round_.urgency):
-            round_.tend(group, is_drained)
+            round_.update_group(group, is_drained)
         services = [s for s in view.config.intent.services if s.kind == "model"]
         for service in sorted(services, key=lambda s: (s.priority, s.name)):
-            round_.fill(service, most_changes)
+            round_.form_missing_replicas(service, max_changes)
         return round_.decision
 
 
@@ -120,7 +120,7 @@
         rate += weights.stranded_accelerators * (len(group.hosts) - lost)
         return (-rate / lost, group.replica)
 
-    def tend(self, group: GroupRecord, is_drained) -> None:
+    def update_group(self, group: GroupRecord, is_drained) -> None:
         """Decide about a group that exists."""
         view = self._view
         if group.replica in view.reserved_names:
@@ -151,7 +151,7 @@
             self._dissolve(group, f"drained for {waited_s:.0f} s, its deadline")
 
     def _repair(self, group: GroupRecord, lost: list[str]) -> None:
-        options = self._planner._repairs.weigh_group(self._view, group, self._busy)
+        options = self._planner._repairs.options_for_group(self._view, group, self._busy)
         weighed = "; ".join(option.explain() for option in options)
         why = f"lost {', '.join(lost)}; {weighed}"
         self.decision.notes[group.replica] = why
@@ -238,12 +238,12 @@
             surplus.update(sorted(replicas, key=_replica_order)[wanted:])
         return surplus
 
-    def fill(self, service: ServiceIntent, most_changes: int = UNLIMITED) -> None:
+    def form_missing_replicas(self, service: ServiceIntent, max_changes: int = UNLIMITED) -> None:
         """Form the replicas that a service lacks."""
         view = self._view
         staying = [g for g in view.groups_of(service.name) if not view.needs_replacement(g)]
         held = len(staying)
-        while held < service.replicas and len(self.decision.changes) < most_changes:
+        while held < service.replicas and len(self.decision.changes) < max_changes:
             placement = place_replica(view, service)
             weighed = "; ".join(choice.explain() for choice in placement.weighed)
             if isinstance(placement, Shortage):
@@ -265,7 +265,9 @@
 
     def _assemble_missing(self, service: ServiceIntent) -> bool:
         """Form a replica out of free hosts and victims, if that costs less than waiting."""
-        options = self._planner._repairs.weigh_missing(self._view, service, self._busy)
+        options = self._planner._repairs.options_for_missing_replica(
+            self._view, service, self._busy
+        )
         best = options[0]
         if best.kind is RepairKind.WAIT:
             return False
@@ -299,7 +301,7 @@
             model_version=service.version,
             adapters=tuple(service.adapters),
             state=GroupState.LOADING,
-            why=why[:MAX_WHY_CHARS],
+            why=why[:MAX_REASON_CHARS],
             since=self._view.wall,
             version=version,
         )
@@ -326,7 +328,7 @@
         # Copies that were meant for an earlier process can't reach this one.
         same_process = incarnation == view.record.incarnation
         before = view.record.unresolved if same_process else 0
-        return view.record.ordered(
+        return view.record.with_order(
             action,
             use=use,
             replica=replica,
--- a/mulleinreach/groups/repair.py
+++ b/mulleinreach/groups/repair.py
@@ -33,9 +33,9 @@
 
 MIN_ABSENCE_S = 10.0
 MAX_ABSENCE_S = 3600.0
-PAUSE_S = 40.0
-PRIORITY_STEP = 4.0
-STORE_SHARE_S = 5.0
+MAX_PAUSE_S = 40.0
+PRIORITY_COST_FACTOR = 4.0
+LOAD_PENALTY_HOST_S = 5.0
 
 
 class RepairKind(enum.StrEnum):
@@ -129,7 +129,9 @@
     def __init__(self, loads: LoadTimeModel):
         self._loads = loads
 
-    def weigh_group(self, view: FleetView, group: GroupRecord, busy: int) -> list[RepairOption]:
+    def options_for_group(
+        self, view: FleetView, group: GroupRecord, busy: int
+    ) -> list[RepairOption]:
         """Return the options for a broken group, the cheapest first.
 
         Parameters
@@ -149,7 +151,7 @@
                 options.append(option)
         return sorted(options, key=lambda o: (o.cost, o.kind, o.domain))
 
-    def weigh_missing(
+    def options_for_missing_replica(
         self, view: FleetView, service: ServiceIntent, busy: int
     ) -> list[RepairOption]:
         """Return the options for a replica that isn't formed, the cheapest first."""
@@ -209,7 +211,9 @@
         absence = self._absence(view, lost)
         load = self._loads.load_seconds(len(lost), busy)
         is_maybe_pause = all(
-            view.hosts[n].lost and view.hosts[n].absent_s < PAUSE_S for n in lost if n in view.hosts
+            view.hosts[n].lost and view.hosts[n].absent_s < MAX_PAUSE_S
+            for n in lost
+            if n in view.hosts
         )
         down = absence + (load / 2 if is_maybe_pause else load)
         idle = len(group.hosts) - len(lost)
@@ -256,7 +260,7 @@
         kept = len([n for n in group.hosts if n not in lost]) if in_place else 0
         down = self._loads.load_seconds(len(hosts) - kept, busy)
         # Each load takes the store from others that may need it.
-        idle = len(hosts) * down + STORE_SHARE_S * (len(hosts) - kept)
+        idle = len(hosts) * down + LOAD_PENALTY_HOST_S * (len(hosts) - kept)
         if group is not None and not in_place:
             # The survivors are freed; they idle until something is made of them.
             idle += max(0, len(group.hosts) - len(lost) - len(hosts)) * down
@@ -329,7 +333,7 @@
 
 def downtime_weight(weights: MeasureWeights, service: ServiceIntent) -> float:
     """Return the cost of a replica-second down; higher priorities weigh more."""
-    return weights.group_downtime * PRIORITY_STEP ** (1 - service.priority)
+    return weights.group_downtime * PRIORITY_COST_FACTOR ** (1 - service.priority)
 
 
 def loading_hosts(view: FleetView) -> int:
--- a/mulleinreach/groups/tests/test_repair.py
+++ b/mulleinreach/groups/tests/test_repair.py
@@ -80,7 +80,7 @@
         return FleetView(0.0, 0.0, self.config, dict(self.hosts), list(self.groups))
 
     def best(self, group):
-        return RepairPlanner(LOADS).weigh_group(self.view(), group, 0)[0]
+        return RepairPlanner(LOADS).options_for_group(self.view(), group, 0)[0]
 
 
 def names(domain, start, stop):
@@ -107,7 +107,7 @@
     fleet = Fleet([service("s", 4, 1)], {"a": 4})
     group = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.restart("a01")
-    options = RepairPlanner(LOADS).weigh_group(fleet.view(), group, 0)
+    options = RepairPlanner(LOADS).options_for_group(fleet.view(), group, 0)
     assert [option.kind for option in options] == [RepairKind.REJOIN]
 
 
--- a/mulleinreach/groups/watch.py
+++ b/mulleinreach/groups/watch.py
@@ -3,7 +3,7 @@
 Explanation
 ===========
 
-Each replica is watched by ``WATCHERS`` nodes, chosen by rendezvous hashing over
+Each replica is watched by ``WATCHERS_PER_REPLICA`` nodes, chosen by rendezvous hashing over
 the nodes that answer. A watcher asks every member for its status, one task for
 each host. What a status says is dated from before it was asked for.
 """
@@ -19,7 +19,7 @@
 from mulleinreach.orders import EngineClient, EngineStatus
 from mulleinreach.roster.messages import HostReport, ReplicaReport
 
-WATCHERS = 2
+WATCHERS_PER_REPLICA = 2
 NEVER = float("-inf")
 
 
@@ -143,7 +143,7 @@
     >>> len(watchers_of("tint-model-1", ["a", "b", "c"]))
     2
     """
-    return rendezvous_rank(key, nodes)[:WATCHERS]
+    return rendezvous_rank(key, nodes)[:WATCHERS_PER_REPLICA]
 
 
 @dataclass
