--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True)
 class DomainCandidate:
-    """A domain that was weighed; ``cost`` is ``None`` where it has too few hosts."""
+    """A domain that was considered; ``cost`` is ``None`` where it has too few hosts."""
 
     domain: str
     free: int
@@ -45,7 +45,7 @@
 
     domain: str
     hosts: tuple[str, ...]
-    weighed: tuple[DomainCandidate, ...]
+    considered: tuple[DomainCandidate, ...]
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
     """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
 
     needed: int
-    weighed: tuple[DomainCandidate, ...]
+    considered: tuple[DomainCandidate, ...]
 
 
 def unusable_hosts(free: int, sizes: list[int]) -> int:
@@ -88,27 +88,27 @@
 def place_replica(view: FleetView, service: ServiceIntent) -> Placement | Shortage:
     """Choose the hosts of one more replica of ``service``."""
     by_domain = allowed_hosts(service, view.free_hosts())
-    weighed = tuple(
-        _weigh_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
+    considered = tuple(
+        _evaluate_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
     )
-    possible = [choice for choice in weighed if choice.cost is not None]
+    possible = [choice for choice in considered if choice.cost is not None]
     if not possible:
-        most = max((choice.free for choice in weighed), default=0)
-        return Shortage(service.hosts_per_replica - most, weighed)
+        most = max((choice.free for choice in considered), default=0)
+        return Shortage(service.hosts_per_replica - most, considered)
     best = min(possible, key=lambda choice: (choice.cost, choice.domain))
-    return Placement(best.domain, best.hosts, weighed)
+    return Placement(best.domain, best.hosts, considered)
 
 
-def _weigh_domain(
+def _evaluate_domain(
     view: FleetView, service: ServiceIntent, domain: str, free: list[HostView]
 ) -> DomainCandidate:
     size = service.hosts_per_replica
     if len(free) < size:
         return DomainCandidate(domain, len(free), None)
-    own = view.groups_of(service.name)
-    in_domain = sum(group.domain == domain for group in own)
+    own_groups = view.groups_of(service.name)
+    in_domain = sum(group.domain == domain for group in own_groups)
     hall = free[0].host.hall
-    in_hall = sum(_hall_of(view, group.head) == hall for group in own)
+    in_hall = sum(_hall_of(view, group.head) == hall for group in own_groups)
     spread = DOMAIN_SPREAD_WEIGHT * in_domain + HALL_SPREAD_WEIGHT * in_hall
     sizes = [s.hosts_per_replica for s in view.config.intent.services if s.kind == "model"]
     fragments = unusable_hosts(len(free) - size, sizes) - unusable_hosts(len(free), sizes)
@@ -135,8 +135,8 @@
 
 
 def _hall_of(view: FleetView, host: str) -> str:
-    known = view.hosts.get(host)
-    return known.host.hall if known else ""
+    host_view = view.hosts.get(host)
+    return host_view.host.hall if host_view else ""
 
 
 def pick_hosts(free: list[HostView], size: int) -> tuple[str, ...]:
--- a/mulleinreach/groups/ledger.py
+++ b/mulleinreach/groups/ledger.py
@@ -28,7 +28,7 @@
     """The answers that this holder of the duty has received."""
 
     def __init__(self) -> None:
-        self._resolved: Counter[tuple[str, str]] = Counter()
+        self._answered_copies: Counter[tuple[str, str]] = Counter()
         self._sent_at: dict[tuple[str, str], float] = {}
 
     def record_sent_order(self, record: HostRecord, now: float) -> None:
@@ -45,7 +45,7 @@
             # Nothing left this process, so the same copy may be sent again.
             self._sent_at.pop((record.name, record.order_id), None)
         elif result in (OrderResult.ACCEPTED, OrderResult.REFUSED):
-            self._resolved[record.name, record.order_id] += 1
+            self._answered_copies[record.name, record.order_id] += 1
 
     def updated_record(self, view: HostView) -> HostRecord | None:
         """Return the host's row with what is settled by now, or ``None`` if nothing is."""
@@ -57,15 +57,15 @@
             if record.use is HostUse.MEMBER:
                 return None
             return replace(record, use=HostUse.FREE, replica="", unresolved=0, copies=0)
-        settled = self._settle_copies(view)
-        if settled.use is HostUse.STOPPING and is_stopped(view) and settled.unresolved == 0:
-            settled = replace(settled, use=HostUse.FREE, replica="")
-        return None if settled == record else settled
+        updated = self._resolve_copies(view)
+        if updated.use is HostUse.STOPPING and is_stopped(view) and updated.unresolved == 0:
+            updated = replace(updated, use=HostUse.FREE, replica="")
+        return None if updated == record else updated
 
-    def _settle_copies(self, view: HostView) -> HostRecord:
+    def _resolve_copies(self, view: HostView) -> HostRecord:
         record = view.record
         key = (record.name, record.order_id)
-        answered = min(self._resolved.pop(key, 0), record.unresolved)
+        answered = min(self._answered_copies.pop(key, 0), record.unresolved)
         if record.copies == 1 and (answered or is_latest_order_done(view)):
             return replace(record, unresolved=max(0, record.unresolved - 1), copies=0)
         return replace(record, unresolved=record.unresolved - answered)
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -67,7 +67,7 @@
         self, loads: LoadTimeModel, unchecked_domains: frozenset[str], drain_deadline_s: float
     ):
         self._repairs = RepairPlanner(loads)
-        self._unchecked = unchecked_domains
+        self._unchecked_domains = unchecked_domains
         self._drain_deadline_s = drain_deadline_s
 
     def decide(
@@ -105,7 +105,7 @@
         self._view = view
         self._epoch = epoch
         self._lease_epoch = lease_epoch
-        self._busy = loading_hosts(view)
+        self._loading_hosts = loading_hosts(view)
         self._surplus = self._find_surplus()
         self.decision = Decision()
 
@@ -139,7 +139,7 @@
             serving = replace(group, state=GroupState.SERVING)
             self._add(Change("serve", group.replica, "all members are ready", group=serving))
         elif view.needs_replacement(group) or self._is_surplus(group):
-            self._condemn(group)
+            self._drain_when_replaceable(group)
 
     def _finish_drain(self, group: GroupRecord, lost: list[str], is_drained) -> None:
         waited_s = self._view.wall - group.since
@@ -151,9 +151,9 @@
             self._dissolve(group, f"drained for {waited_s:.0f} s, its deadline")
 
     def _repair(self, group: GroupRecord, lost: list[str]) -> None:
-        options = self._planner._repairs.options_for_group(self._view, group, self._busy)
-        weighed = "; ".join(option.explain() for option in options)
-        why = f"lost {', '.join(lost)}; {weighed}"
+        options = self._planner._repairs.options_for_group(self._view, group, self._loading_hosts)
+        considered = "; ".join(option.explain() for option in options)
+        why = f"lost {', '.join(lost)}; {considered}"
         self.decision.notes[group.replica] = why
         if options and options[0].kind is not RepairKind.WAIT:
             self._replace_members(group, options[0], f"{options[0].kind}: {why}")
@@ -163,9 +163,9 @@
             group.replica, group.service, option.domain, option.hosts, why, group.version
         )
         hosts = self._stop_rows(group, set(option.hosts))
-        self._carry_out("repair", new_group, option, why, hosts)
+        self._add_assembled_group("repair", new_group, option, why, hosts)
 
-    def _carry_out(
+    def _add_assembled_group(
         self,
         action: str,
         new_group: GroupRecord,
@@ -188,9 +188,9 @@
                 hosts=tuple(hosts),
             )
         )
-        self._busy += len(option.hosts)
+        self._loading_hosts += len(option.hosts)
 
-    def _condemn(self, group: GroupRecord) -> None:
+    def _drain_when_replaceable(self, group: GroupRecord) -> None:
         """Drain a group once what replaces it serves, or can't be formed anyway."""
         view = self._view
         service = view.config.intent.service(group.service)
@@ -206,11 +206,11 @@
             )
             if serving < service.replicas and draining:
                 return
-        why = self._condemned_because(group)
+        why = self._drain_reason(group)
         draining_group = replace(group, state=GroupState.DRAINING, since=view.wall, why=why)
         self._add(Change("drain", group.replica, why, group=draining_group))
 
-    def _condemned_because(self, group: GroupRecord) -> str:
+    def _drain_reason(self, group: GroupRecord) -> str:
         leaving = [n for n in group.hosts if n in self._view.hosts and self._view.hosts[n].leaving]
         if leaving:
             return f"{', '.join(leaving)} is leaving"
@@ -226,32 +226,32 @@
 
     def _find_surplus(self) -> set[str]:
         """Return the replicas beyond what their services want, and those of removed ones."""
-        staying: dict[str, list[str]] = {}
+        remaining: dict[str, list[str]] = {}
         surplus = set()
         for group in self._view.groups:
             if self._view.config.intent.service(group.service) is None:
                 surplus.add(group.replica)
             elif not self._view.needs_replacement(group):
-                staying.setdefault(group.service, []).append(group.replica)
-        for name, replicas in staying.items():
+                remaining.setdefault(group.service, []).append(group.replica)
+        for name, replicas in remaining.items():
             wanted = self._view.config.intent.service(name).replicas
-            surplus.update(sorted(replicas, key=_replica_order)[wanted:])
+            surplus.update(sorted(replicas, key=_replica_sort_key)[wanted:])
         return surplus
 
     def form_missing_replicas(self, service: ServiceIntent, max_changes: int = UNLIMITED) -> None:
         """Form the replicas that a service lacks."""
         view = self._view
-        staying = [g for g in view.groups_of(service.name) if not view.needs_replacement(g)]
-        held = len(staying)
-        while held < service.replicas and len(self.decision.changes) < max_changes:
+        remaining = [g for g in view.groups_of(service.name) if not view.needs_replacement(g)]
+        replica_count = len(remaining)
+        while replica_count < service.replicas and len(self.decision.changes) < max_changes:
             placement = place_replica(view, service)
-            weighed = "; ".join(choice.explain() for choice in placement.weighed)
+            considered = "; ".join(choice.explain() for choice in placement.considered)
             if isinstance(placement, Shortage):
-                if not self._assemble_missing(service):
-                    self._note_shortage(service, placement, weighed)
+                if not self._form_with_victims(service):
+                    self._note_shortage(service, placement, considered)
                     return
             else:
-                why = f"{service.name} wants {service.replicas}, has {held}; {weighed}"
+                why = f"{service.name} wants {service.replicas}, has {replica_count}; {considered}"
                 group = self._new_group(
                     self._next_replica_name(service),
                     service.name,
@@ -261,12 +261,12 @@
                 )
                 rows = tuple(self._member_rows(group))
                 self._add(Change("form", group.replica, why, group=group, hosts=rows))
-            held += 1
+            replica_count += 1
 
-    def _assemble_missing(self, service: ServiceIntent) -> bool:
+    def _form_with_victims(self, service: ServiceIntent) -> bool:
         """Form a replica out of free hosts and victims, if that costs less than waiting."""
         options = self._planner._repairs.options_for_missing_replica(
-            self._view, service, self._busy
+            self._view, service, self._loading_hosts
         )
         best = options[0]
         if best.kind is RepairKind.WAIT:
@@ -275,13 +275,13 @@
         group = self._new_group(
             self._next_replica_name(service), service.name, best.domain, best.hosts, why
         )
-        self._carry_out("form", group, best, why, [])
+        self._add_assembled_group("form", group, best, why, [])
         return True
 
-    def _note_shortage(self, service: ServiceIntent, shortage: Shortage, weighed: str) -> None:
+    def _note_shortage(self, service: ServiceIntent, shortage: Shortage, considered: str) -> None:
         self.decision.notes[service.name] = (
             f"{service.name} lacks replicas: {shortage.needed} more hosts needed in one"
-            f" domain; {weighed}"
+            f" domain; {considered}"
         )
 
     def _next_replica_name(self, service: ServiceIntent) -> str:
@@ -322,7 +322,7 @@
 
     def _order(self, name: str, use: HostUse, replica: str, epoch: int) -> HostRecord:
         view = self._view.hosts[name]
-        unchecked = view.host.domain in self._planner._unchecked
+        unchecked = view.host.domain in self._planner._unchecked_domains
         action = "load" if use is HostUse.MEMBER else "stop"
         incarnation = view.report.incarnation if view.report else view.record.incarnation
         # Copies that were meant for an earlier process can't reach this one.
@@ -368,6 +368,6 @@
     return f"{service}-{number}"
 
 
-def _replica_order(replica: str) -> tuple[int, str]:
+def _replica_sort_key(replica: str) -> tuple[int, str]:
     _, _, number = replica.rpartition("-")
     return (int(number) if number.isdigit() else 0, replica)
