--- a/mulleinreach/groups/tests/test_repair.py
+++ b/mulleinreach/groups/tests/test_repair.py
@@ -87,7 +87,7 @@
     return [f"{domain}{number:02d}" for number in range(start, stop)]
 
 
-def test_a_spare_takes_the_rank_of_the_lost_host():
+def test_a_spare_gets_the_rank_of_the_lost_host():
     fleet = Fleet([service("s", 4, 1)], {"a": 6})
     group = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.lose("a01", 60)
@@ -96,14 +96,14 @@
     assert best.hosts == ("a00", "a04", "a02", "a03")
 
 
-def test_an_absence_that_may_be_a_pause_is_waited_for():
+def test_a_short_absence_leads_to_waiting():
     fleet = Fleet([service("s", 4, 1)], {"a": 6})
     group = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.lose("a01", 3)
     assert fleet.best(group).kind is RepairKind.WAIT
 
 
-def test_members_that_are_back_as_new_processes_rejoin_at_once():
+def test_restarted_members_rejoin_without_waiting():
     fleet = Fleet([service("s", 4, 1)], {"a": 4})
     group = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.restart("a01")
@@ -111,7 +111,7 @@
     assert [option.kind for option in options] == [RepairKind.REJOIN]
 
 
-def test_without_a_spare_it_is_formed_again_in_another_domain():
+def test_without_a_spare_a_replica_is_formed_again_in_another_domain():
     fleet = Fleet([service("s", 4, 1)], {"a": 4, "b": 4})
     group = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.lose("a01", 600)
@@ -119,7 +119,7 @@
     assert (best.kind, best.domain) == (RepairKind.REFORM, "b")
 
 
-def test_leftovers_of_two_broken_replicas_are_merged():
+def test_survivors_of_two_broken_replicas_are_merged():
     fleet = Fleet([service("s", 4, 2)], {"a": 8})
     first = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.group("s-2", "s", names("a", 4, 8))
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize(("priority", "kind"), [(3, RepairKind.TAKE), (1, RepairKind.WAIT)])
-def test_a_replica_that_matters_less_gives_its_hosts(priority, kind):
+def test_only_a_replica_of_lower_priority_becomes_a_victim(priority, kind):
     services = [service("s", 4, 1, 1), service("low", 4, 1, priority)]
     fleet = Fleet(services, {"a": 8}, downtime=30.0)
     group = fleet.group("s-1", "s", names("a", 0, 4))
@@ -140,7 +140,7 @@
     assert fleet.best(group).kind is kind
 
 
-def test_a_small_replica_moves_away_for_a_large_one():
+def test_a_small_replica_that_fits_elsewhere_becomes_a_victim():
     services = [service("big", 8, 1), service("s", 4, 1)]
     fleet = Fleet(services, {"a": 12, "b": 4})
     group = fleet.group("big-1", "big", names("a", 0, 8))
@@ -168,7 +168,7 @@
     assert first_repaired(downtime=1.0, stranded=3.0) == "big-1"
 
 
-def test_each_option_is_in_the_explanation():
+def test_the_reason_of_a_repair_lists_all_options():
     fleet = Fleet([service("s", 4, 1)], {"a": 6, "b": 4})
     fleet.group("s-1", "s", names("a", 0, 4))
     fleet.lose("a01", 60)
@@ -190,14 +190,14 @@
     ) == ["a", "b", "b"]
 
 
-def test_a_shortage_says_by_how_much():
+def test_a_shortage_reports_how_many_hosts_are_needed():
     fleet = Fleet([service("s", 16, 1)], {"a": 6, "b": 4})
     placement = place_replica(fleet.view(), fleet.config.intent.service("s"))
     assert isinstance(placement, Shortage)
     assert placement.needed == 10
 
 
-def test_a_replica_goes_into_as_few_racks_as_it_can():
+def test_a_replica_is_placed_on_as_few_racks_as_possible():
     fleet = Fleet([service("s", 4, 1)], {"a": 10})
     fleet.group("x-1", "x", names("a", 0, 2))
     placement = place_replica(fleet.view(), fleet.config.intent.service("s"))
