--- a/mulleinreach/groups/controller.py
+++ b/mulleinreach/groups/controller.py
@@ -1,12 +1,10 @@
-"""The control duty that keeps the fleet as the intent wants it.
+"""The control loop that brings the fleet's groups in line with the intent.
 
-Explanation
-===========
-
-One node at a time does this, by the lease on the duty ``groups``. Any node can:
-all that has to be known stands in the table or is observed. Each transaction
-is conditional on the lease's row and on each row that it was decided from; the
-lease is checked again after every wait and just before each order is sent.
+The node that holds the lease on the duty ``groups`` runs this loop. Any node can
+take it over, because all state is in the table or is observed from the hosts.
+Each transaction is conditional on the versions of the lease's row and of every
+row that the decision was based on. The lease is checked again after every wait
+and just before each order is sent.
 """
 
 from __future__ import annotations
@@ -51,6 +49,7 @@
 DUTY = "groups"
 EPOCH_KEY = "state/epoch"
 RESEND_INTERVAL_S = 5.0
+# Covers the time until every node has stopped sending to a draining group.
 MIN_DRAIN_S = 3.0
 MAX_CHANGES_PER_ROUND = 20
 
@@ -66,13 +65,16 @@
     wall: float,
     lost_after_s: float,
 ) -> FleetView:
-    """Join the table's rows, the host list and the watchers' reports into one view.
+    """Combine the table's rows, the host list and the watchers' reports into one view.
 
     Parameters
     ==========
 
-    reports : for each host the latest status, and the monotonic time before
-        which it was asked for.
+    reports : the latest status of each host, with the monotonic time at which
+        it was requested.
+    now : monotonic time in seconds.
+    wall : Unix time in seconds.
+    lost_after_s : seconds without a status after which a host counts as lost.
     """
     rows = [HostRecord.from_row(row) for row in cache.under(HOSTS_PREFIX)]
     records = {record.name: record for record in rows}
@@ -102,7 +104,7 @@
 
 
 class GroupController:
-    """Runs the duty while this node holds its lease."""
+    """Decides and orders changes of groups while this node holds the duty's lease."""
 
     def __init__(
         self,
@@ -138,16 +140,16 @@
         self.notes: dict[str, str] = {}
 
     async def stop(self) -> None:
-        """End the orders that are being sent and give the lease up."""
+        """Cancel the orders that are being sent and release the lease."""
         await self._tasks.close()
         await self._lease.release()
 
     async def abandon(self) -> None:
-        """End at once; the lease lapses by itself."""
+        """Stop without releasing the lease, which then expires."""
         await self._tasks.close()
 
     async def tick(self) -> None:
-        """Do one round, if we hold the lease."""
+        """Run one iteration of the control loop if this node holds the lease."""
         await self._lease.tick()
         if not self._can_decide():
             return
@@ -158,7 +160,7 @@
         self._send_orders()
 
     def _can_decide(self) -> bool:
-        """Whether we hold the lease, and have watched long enough to call hosts lost."""
+        """Whether the host list was read and the lease held long enough to detect lost hosts."""
         if not self._lease.is_held():
             self._lease_held_since = None
             return False
@@ -170,7 +172,7 @@
         return self._directory.was_read and watched_s > self._lost_after_s
 
     def view(self) -> FleetView:
-        """Return the fleet as it is known now."""
+        """Return the current view of the fleet."""
         return build_view(
             self._cache,
             self._directory,
@@ -182,7 +184,7 @@
         )
 
     async def _record_resolved_orders(self) -> None:
-        """Write down which orders are settled and which hosts are free again."""
+        """Store which orders are resolved and which hosts are free again."""
         updated = [self._order_tracker.updated_record(host) for host in self.view().hosts.values()]
         rows = [record for record in updated if record is not None]
         if rows:
@@ -215,14 +217,14 @@
             if head is None or head.report is None:
                 return False
             waited_s = view.wall - group.since
-            # The status must have been asked for after every node stopped sending.
+            # The status must be newer than the last request that any node sent.
             is_recent = waited_s - head.absent_s > MIN_DRAIN_S
             return is_recent and head.report.in_flight == 0
 
         return is_drained
 
     async def _commit(self, change: Change) -> bool:
-        """Write one change; the epochs in it are above all that were given out."""
+        """Write one change, and raise the last used epoch to the highest in it."""
         conditions, writes = [], []
         if change.group is not None:
             conditions.append(Condition(change.group.key, change.group.version))
@@ -291,7 +293,7 @@
             self._sending.discard(host.name)
 
     async def _record_resend(self, record: HostRecord) -> HostRecord | None:
-        """Write down that one more copy is sent, where the engine doesn't check epochs."""
+        """Count a resent copy in the host's row if the engine doesn't check epochs."""
         first_copy = (
             record.sender == self._lease.epoch and self._order_tracker.sent_at(record) is None
         )
@@ -308,7 +310,7 @@
         return replace(copy, version=self._cache.get(copy.key).version)
 
     def _build_order(self, record: HostRecord) -> Order | None:
-        """Return the order that a row asks for; ``None`` if its group has changed since."""
+        """Return the order that a row calls for, or ``None`` if its group has changed."""
         if record.use is HostUse.STOPPING:
             return Order(
                 record.order_id, "stop", record.replica, record.epoch, record.incarnation, []
@@ -331,7 +333,7 @@
 
 
 async def run_controller(controller: GroupController, interval_s: float) -> None:
-    """Do rounds for ever."""
+    """Run the control loop until it is cancelled."""
     while True:
         await controller.tick()
         await asyncio.sleep(interval_s)
--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -1,13 +1,11 @@
-"""Choosing the hosts of a new replica.
-
-Explanation
-===========
-
-A replica stands within one fabric domain. Among the domains with enough free
-hosts the one is taken that gives the lowest sum of: the share of the service's
-replicas that it already holds (so that a rack or hall doesn't end the service),
-and the hosts that would be left over in pieces that no service's replicas fit.
-Within the domain, whole racks go first, so that losing a rack ends few groups.
+"""Placement of new replicas on free hosts.
+
+All hosts of a replica are in one fabric domain. The domain with the lowest cost
+is used. The cost grows with the share of the service's replicas that are in the
+domain or its hall already (a failure there would stop them together), with the
+free hosts that no set of replicas can use afterwards (fragmentation), and with
+the spare hosts that the domain then lacks. Within the domain, few racks are
+used, so that the failure of a rack breaks few groups.
 """
 
 from __future__ import annotations
@@ -18,6 +16,7 @@
 from mulleinreach.groups.view import FleetView, HostView
 from mulleinreach.intents import ServiceIntent
 
+# Weights of the terms of a domain's cost, relative to one unusable host.
 DOMAIN_SPREAD_WEIGHT = 4.0
 HALL_SPREAD_WEIGHT = 2.0
 SPARE_SHORTFALL_WEIGHT = 2.0
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True)
 class DomainCandidate:
-    """A domain that was considered; ``cost`` is ``None`` where it has too few hosts."""
+    """A domain that was considered; ``cost`` is ``None`` if it has too few free hosts."""
 
     domain: str
     free: int
@@ -33,7 +32,7 @@
     hosts: tuple[str, ...] = ()
 
     def explain(self) -> str:
-        """Return the choice in a few words."""
+        """Return a short description for explanations."""
         if self.cost is None:
             return f"{self.domain}: {self.free} free, too few"
         return f"{self.domain}: {self.free} free, cost {self.cost:.2f}"
@@ -41,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The hosts of a new replica, and all that was weighed."""
+    """The hosts for a new replica, and all domains that were considered."""
 
     domain: str
     hosts: tuple[str, ...]
@@ -50,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Shortage:
-    """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
+    """No domain has enough free hosts; ``needed`` is how many more the best one needs."""
 
     needed: int
     considered: tuple[DomainCandidate, ...]
@@ -75,7 +74,7 @@
 
 
 def allowed_hosts(service: ServiceIntent, hosts: list[HostView]) -> dict[str, list[HostView]]:
-    """Return the hosts where the service's replicas may stand, by domain."""
+    """Return the hosts that the service's replicas may use, by domain."""
     by_domain: dict[str, list[HostView]] = defaultdict(list)
     for view in hosts:
         domain_fits = not service.domains or view.host.domain in service.domains
@@ -123,10 +122,10 @@
 
 
 def spare_hosts_per_domain(view: FleetView) -> float:
-    """Return how many hosts a domain keeps free if each has its share of what is left over.
+    """Return the number of spare hosts per domain if they are spread evenly.
 
-    A spare helps only in its own domain, so what the intent leaves over is best
-    spread over all of them.
+    Spares are the hosts that the intent doesn't need. A spare can only replace
+    hosts of its own domain.
     """
     services = [s for s in view.config.intent.services if s.kind == "model"]
     wanted = sum(s.hosts_per_replica * s.replicas for s in services)
@@ -140,12 +139,12 @@
 
 
 def pick_hosts(free: list[HostView], size: int) -> tuple[str, ...]:
-    """Return ``size`` of the hosts, touching as few racks as is easily had."""
+    """Return the names of ``size`` of the hosts, from few racks (a greedy choice)."""
     per_rack = Counter(view.host.rack for view in free)
 
     def rack_order(view: HostView) -> tuple:
         count = per_rack[view.host.rack]
-        # The smallest rack that holds the whole replica first, then the largest.
+        # Prefer the smallest rack that fits the whole replica, then the largest ones.
         fits = count >= size
         return (not fits, count if fits else -count, view.host.rack, view.name)
 
--- a/mulleinreach/groups/ledger.py
+++ b/mulleinreach/groups/ledger.py
@@ -1,16 +1,11 @@
-"""Follows the orders that were given to hosts until they are settled.
-
-Explanation
-===========
-
-Engines that check epochs refuse an old order by themselves. For those that
-don't, a copy of an order that was sent and not answered may arrive at any
-later moment, so the host's row counts the copies that are unresolved, written
-before each is sent. A host is free again only when none is left:
-
-- the answer to a copy resolves it;
-- its effect, seen in the engine's status, resolves it if it was the only copy;
-- a new incarnation, or the host list's word that the host is gone, resolves all.
+"""Tracks the orders sent to hosts until they are resolved.
+
+Engines that check epochs refuse outdated orders. With other engines, a copy of
+an order that was sent but not answered may still arrive at any later time, so
+the host's row counts unresolved copies and is written before each copy is sent.
+An answer resolves one copy; an engine status that shows the order as done
+resolves a single copy; a new incarnation of the engine, or a host that the host
+list reports as gone, resolves all. A host with unresolved copies isn't free.
 """
 
 from __future__ import annotations
@@ -25,35 +20,35 @@
 
 
 class OrderTracker:
-    """The answers that this holder of the duty has received."""
+    """Orders that this node has sent, and their answers, while it holds the lease."""
 
     def __init__(self) -> None:
         self._answered_copies: Counter[tuple[str, str]] = Counter()
         self._sent_at: dict[tuple[str, str], float] = {}
 
     def record_sent_order(self, record: HostRecord, now: float) -> None:
-        """Note that a copy of the row's order is being sent."""
+        """Record that a copy of the row's order is being sent."""
         self._sent_at[record.name, record.order_id] = now
 
     def sent_at(self, record: HostRecord) -> float | None:
-        """Return when we last sent the row's order, if ever."""
+        """Return the monotonic time at which the row's order was last sent, if ever."""
         return self._sent_at.get((record.name, record.order_id))
 
     def record_order_result(self, record: HostRecord, result: OrderResult) -> None:
-        """Note what became of a copy that we sent."""
+        """Record the result of sending a copy of the row's order."""
         if result is OrderResult.NOT_SENT:
-            # Nothing left this process, so the same copy may be sent again.
+            # Nothing was sent, so the same copy can be sent without counting it again.
             self._sent_at.pop((record.name, record.order_id), None)
         elif result in (OrderResult.ACCEPTED, OrderResult.REFUSED):
             self._answered_copies[record.name, record.order_id] += 1
 
     def updated_record(self, view: HostView) -> HostRecord | None:
-        """Return the host's row with what is settled by now, or ``None`` if nothing is."""
+        """Return the host's row updated for resolved orders, or ``None`` if unchanged."""
         record = view.record
         if record.use is HostUse.FREE and record.unresolved == 0:
             return None
         if has_process_ended(view):
-            # A member whose process is new waits for its group's repair.
+            # A member whose process restarted is handled by the repair of its group.
             if record.use is HostUse.MEMBER:
                 return None
             return replace(record, use=HostUse.FREE, replica="", unresolved=0, copies=0)
@@ -72,19 +67,19 @@
 
 
 def has_process_ended(view: HostView) -> bool:
-    """Whether the process that the row's orders were meant for has ended."""
+    """Whether the engine process that the row's order was meant for has ended."""
     if view.host.state is HostState.GONE:
         return True
     return view.report is not None and view.report.incarnation != view.record.incarnation
 
 
 def is_latest_order_done(view: HostView) -> bool:
-    """Whether the engine says that the row's order is the last that it carried out."""
+    """Whether the engine reports the row's order as the last one it carried out."""
     return view.report is not None and view.report.last_order == view.record.order_id
 
 
 def is_stopped(view: HostView) -> bool:
-    """Whether the engine says that it has carried out a stop."""
+    """Whether the engine is idle after the row's stop order or one with a later epoch."""
     report = view.report
     if report is None or report.state != "idle":
         return False
--- a/mulleinreach/groups/model.py
+++ b/mulleinreach/groups/model.py
@@ -1,11 +1,8 @@
-"""Rows of the table for hosts and groups.
+"""Rows of hosts and groups in the table.
 
-Explanation
-===========
-
-A group is the set of hosts that form one replica, under an epoch. All rows of
-a change are written in one transaction, conditional on the versions it was
-decided from, so that no host can be in two groups.
+A group is the set of hosts that form one replica, identified by an epoch. All
+rows of a change are written in one transaction, conditional on the versions
+that the decision was based on, so that no host can be in two groups.
 """
 
 from __future__ import annotations
@@ -20,7 +17,7 @@
 
 
 class HostUse(enum.StrEnum):
-    """What the table says that a host is for."""
+    """How a host is used, according to the table."""
 
     FREE = "free"
     MEMBER = "member"
@@ -28,7 +25,7 @@
 
 
 class GroupState(enum.StrEnum):
-    """The life of a group; ``DRAINING`` gets no new work."""
+    """Lifecycle of a group; a group in ``DRAINING`` gets no new requests."""
 
     LOADING = "loading"
     SERVING = "serving"
@@ -42,12 +39,12 @@
     Parameters
     ==========
 
-    epoch : of the latest order to it; the next order has a higher one.
-    incarnation : the engine process that the order is meant for.
-    unresolved : copies of orders sent to an engine that doesn't check epochs
-        and may still arrive.
-    copies : how many copies of the present order may have been sent; 0 once
-        the only one is known to have arrived.
+    epoch : epoch of the latest order to the host; the next order has a higher one.
+    incarnation : number of the engine process that the order is meant for.
+    unresolved : number of copies of orders that may still arrive at an engine
+        that doesn't check epochs.
+    copies : number of copies of the current order that may have been sent; 0 once
+        a single copy is known to have arrived.
     sender : epoch of the lease under which the latest copy is sent.
     """
 
@@ -64,7 +61,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> HostRecord:
-        """Read a row; an absent one is a free host."""
+        """Return the record of a row; a row that doesn't exist means a free host."""
         name = row.key.removeprefix(HOSTS_PREFIX)
         value = dict(row.value or {})
         value["use"] = HostUse(value.get("use", HostUse.FREE))
@@ -82,7 +79,7 @@
         return value
 
     def with_order(self, action: str, **changes) -> HostRecord:
-        """Return this row with a new order in it."""
+        """Return a copy with the changes and the id of a new order."""
         changed = replace(self, **changes)
         order_id = f"{changed.replica}@{changed.epoch}/{action}"
         return replace(changed, order_id=order_id)
@@ -90,7 +87,7 @@
 
 @dataclass(frozen=True)
 class GroupRecord:
-    """A group's row; ``hosts[0]`` is the head, which callers' requests go to."""
+    """A group's row; ``hosts`` is in rank order and starts with the head."""
 
     replica: str
     service: str
@@ -107,7 +104,7 @@
 
     @classmethod
     def from_row(cls, row: Row) -> GroupRecord:
-        """Read a row that exists."""
+        """Return the record of a row, which must exist."""
         value = dict(row.value)
         value["hosts"] = tuple(value["hosts"])
         value["adapters"] = tuple(value["adapters"])
@@ -121,7 +118,7 @@
 
     @property
     def head(self) -> str:
-        """The host that takes the replica's requests."""
+        """The name of the host that receives the replica's requests."""
         return self.hosts[0]
 
     def to_value(self) -> dict:
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -1,11 +1,8 @@
-"""Decides the next changes of the fleet, from one view of it.
+"""Planner of the next changes of the fleet, given one view of it.
 
-Explanation
-===========
-
-The planner has no state but the reasons it gave; it can be run again at any
-time and by any holder of the duty. Each decision is a :class:`Change`: rows to
-write in one transaction, and why.
+The planner keeps no state between calls, so any node that holds the duty's lease
+can run it at any time. Each decision is a :class:`Change`: rows to write in one
+transaction, and the reason.
 """
 
 from __future__ import annotations
@@ -32,16 +29,16 @@
 
 @dataclass(frozen=True)
 class Change:
-    """Rows to write together, and the reason.
+    """Rows to write in one transaction, and the reason.
 
     Parameters
     ==========
 
     action : the name of the change in the audit trail.
-    subject : the replica or host that it is about.
-    group : the group's new row; ``None`` leaves it alone.
-    removed : a group's row to delete.
-    hosts : new rows of hosts; their ``version`` is the one to be conditional on.
+    subject : the replica or host that is changed.
+    group : the group's new row, or ``None`` if no group's row is written.
+    removed : groups whose rows are deleted.
+    hosts : new rows of hosts; the write is conditional on their ``version``.
     """
 
     action: str
@@ -54,7 +51,7 @@
 
 @dataclass
 class Decision:
-    """The changes of one round, and what was weighed for those not made."""
+    """Changes to make, and notes by replica or service on the options considered."""
 
     changes: list[Change] = field(default_factory=list)
     notes: dict[str, str] = field(default_factory=dict)
@@ -84,9 +81,10 @@
         ==========
 
         epoch : the last epoch in use; each new group gets a higher one.
-        is_drained : tells whether a draining group has no work in flight.
+        is_drained : returns whether a draining group has no requests in flight.
         lease_epoch : the epoch of the lease under which orders will be sent.
-        max_changes : where to stop, so that a round stays short; the next goes on.
+        max_changes : number of changes after which no more replicas are formed;
+            the next call continues.
         """
         round_ = _Round(self, view, epoch, lease_epoch)
         for group in sorted(view.groups, key=round_.urgency):
@@ -110,7 +108,7 @@
         self.decision = Decision()
 
     def urgency(self, group: GroupRecord) -> tuple:
-        """Order groups so that those which cost most for each host they lack go first."""
+        """Return a sort key: groups with the highest cost per lost host come first."""
         lost = len(self._view.lost_members(group))
         service = self._view.config.intent.service(group.service)
         if not lost or service is None:
@@ -121,7 +119,7 @@
         return (-rate / lost, group.replica)
 
     def update_group(self, group: GroupRecord, is_drained) -> None:
-        """Decide about a group that exists."""
+        """Decide the next change of an existing group."""
         view = self._view
         if group.replica in view.reserved_names:
             return
@@ -148,7 +146,7 @@
         elif is_drained(group):
             self._dissolve(group, "drained: nothing is in flight")
         elif waited_s > self._planner._drain_deadline_s:
-            self._dissolve(group, f"drained for {waited_s:.0f} s, its deadline")
+            self._dissolve(group, f"drain deadline passed after {waited_s:.0f} s")
 
     def _repair(self, group: GroupRecord, lost: list[str]) -> None:
         options = self._planner._repairs.options_for_group(self._view, group, self._loading_hosts)
@@ -173,7 +171,7 @@
         why: str,
         hosts: list[HostRecord],
     ) -> None:
-        """Write the new group, and stop what is left of the victims."""
+        """Add the change that writes the new group and dissolves its victims."""
         victims = [g for g in self._view.groups if g.replica in option.victims]
         for victim in victims:
             hosts = hosts + self._stop_rows(victim, set(option.hosts))
@@ -191,7 +189,7 @@
         self._loading_hosts += len(option.hosts)
 
     def _drain_when_replaceable(self, group: GroupRecord) -> None:
-        """Drain a group once what replaces it serves, or can't be formed anyway."""
+        """Drain a group once its replacement is serving, or if none can be formed."""
         view = self._view
         service = view.config.intent.service(group.service)
         if service is not None and not self._is_surplus(group):
@@ -221,11 +219,11 @@
         return "more replicas than the service asks for"
 
     def _is_surplus(self, group: GroupRecord) -> bool:
-        """Whether the service has enough other groups; the last by name goes first."""
+        """Whether the service has enough other groups; the highest-numbered are surplus."""
         return group.replica in self._surplus
 
     def _find_surplus(self) -> set[str]:
-        """Return the replicas beyond what their services want, and those of removed ones."""
+        """Return the replicas in excess of their service's number, or of removed services."""
         remaining: dict[str, list[str]] = {}
         surplus = set()
         for group in self._view.groups:
@@ -239,7 +237,7 @@
         return surplus
 
     def form_missing_replicas(self, service: ServiceIntent, max_changes: int = UNLIMITED) -> None:
-        """Form the replicas that a service lacks."""
+        """Form the missing replicas of a service."""
         view = self._view
         remaining = [g for g in view.groups_of(service.name) if not view.needs_replacement(g)]
         replica_count = len(remaining)
@@ -264,7 +262,7 @@
             replica_count += 1
 
     def _form_with_victims(self, service: ServiceIntent) -> bool:
-        """Form a replica out of free hosts and victims, if that costs less than waiting."""
+        """Form a replica from free hosts and hosts of victims, if cheaper than waiting."""
         options = self._planner._repairs.options_for_missing_replica(
             self._view, service, self._loading_hosts
         )
@@ -312,7 +310,7 @@
         ]
 
     def _stop_rows(self, group: GroupRecord, kept: set[str]) -> list[HostRecord]:
-        """Order the members that aren't kept to stop, under an epoch of their own."""
+        """Return rows with stop orders, under a new epoch, for all members not in ``kept``."""
         self._epoch += 1
         return [
             self._order(name, HostUse.STOPPING, group.replica, self._epoch)
@@ -325,7 +323,7 @@
         unchecked = view.host.domain in self._planner._unchecked_domains
         action = "load" if use is HostUse.MEMBER else "stop"
         incarnation = view.report.incarnation if view.report else view.record.incarnation
-        # Copies that were meant for an earlier process can't reach this one.
+        # Copies of orders for an earlier process have no effect on this one.
         same_process = incarnation == view.record.incarnation
         before = view.record.unresolved if same_process else 0
         return view.record.with_order(
@@ -352,12 +350,12 @@
         if gone:
             self._view.groups[:] = [g for g in self._view.groups if g.replica not in gone]
         if change.action == "form":
-            # Later choices of this round must see where this one stands.
+            # Later placements in the same view must take the new group into account.
             self._view.groups.append(change.group)
 
     @property
     def epoch(self) -> int:
-        """The last epoch that this round gave out."""
+        """The last epoch that was assigned."""
         return self._epoch
 
 
--- a/mulleinreach/groups/repair.py
+++ b/mulleinreach/groups/repair.py
@@ -1,23 +1,11 @@
-"""Choosing what to do with a replica that has lost a member, or isn't formed.
-
-Explanation
-===========
-
-Each way to bring a replica back is given an expected cost: seconds until it
-serves, times the weight of group downtime, plus host-seconds that stay idle
-because of it, times the weight of stranded accelerators. The lowest one is
-taken, and all are kept for the explanation. The ways are to wait, and to
-assemble the replica in one of the fabric domains, out of
-
-- its own survivors (in its own domain; they keep their ranks and weights),
-- free hosts,
-- the hosts of victims: replicas that are broken themselves, matter less, or can
-  be formed again elsewhere at once. What a victim loses is part of the cost.
-
-How long an absent host stays away isn't known. The longer it has been away,
-the longer it is expected to stay (a heavy-tailed absence): the rest is taken
-as the time so far, and at least ``MIN_ABSENCE_S``. A short absence_s may be a
-pause, after which nothing has to be loaded.
+"""Selection of the repair of a replica that has lost a member or isn't formed.
+
+The cost of an option is its expected downtime and idle host-seconds, weighted
+by the intent's measures; the cheapest option is applied. Options are to wait, or
+to assemble the replica in a fabric domain from its survivors (in its own domain
+only; they keep their ranks and weights), free hosts, and hosts of victims (other
+replicas that are dissolved, whose own cost is added). The remaining absence of a
+host is estimated as its absence so far, as for a heavy-tailed distribution.
 """
 
 from __future__ import annotations
@@ -33,13 +21,21 @@
 
 MIN_ABSENCE_S = 10.0
 MAX_ABSENCE_S = 3600.0
+# A shorter absence may be a paused process: half the load time is expected then.
 MAX_PAUSE_S = 40.0
+# Ratio of the downtime costs of two consecutive priorities.
 PRIORITY_COST_FACTOR = 4.0
+# Cost of each load to other hosts that share the weight store.
 LOAD_PENALTY_HOST_S = 5.0
 
 
 class RepairKind(enum.StrEnum):
-    """The ways to bring a replica back."""
+    """The kinds of repair options.
+
+    ``REJOIN`` keeps all members, ``SPARE`` replaces lost members by free hosts of
+    the domain, ``TAKE`` uses hosts of victims, and ``REFORM`` forms the replica on
+    free hosts only.
+    """
 
     WAIT = "wait"
     REJOIN = "rejoin"
@@ -50,13 +46,13 @@
 
 @dataclass(frozen=True)
 class LoadTimeModel:
-    """How long loads take: the weight store serves ``parallel_loads`` hosts at once."""
+    """Load times when the weight store serves at most ``parallel_loads`` hosts at once."""
 
     host_load_s: float
     parallel_loads: int
 
     def load_seconds(self, hosts: int, loading: int = 0) -> float:
-        """Return when ``hosts`` more hosts found_hosts loaded, behind ``loading`` others.
+        """Return the time in seconds to load ``hosts`` hosts, queued behind ``loading`` others.
 
         Examples
         ========
@@ -71,15 +67,16 @@
 
 @dataclass(frozen=True)
 class RepairOption:
-    """One way to bring a replica back, with its expected consequences.
+    """One way to repair a replica, with its expected cost.
 
     Parameters
     ==========
 
-    downtime_s : weighted replica-seconds until service, those of victims included.
-    stranded_host_s : host-seconds that stay idle.
-    hosts : the members of the new group, by rank; empty for ``WAIT``.
-    victims : the replicas that hosts are taken from; they are dissolved.
+    downtime_s : expected seconds until the replica serves.
+    stranded_host_s : host-seconds that stay idle, those of victims included.
+    cost : weighted sum of both, plus the cost of the victims.
+    hosts : the members of the new group in rank order; empty for ``WAIT``.
+    victims : the replicas that are dissolved to use their hosts.
     """
 
     kind: RepairKind
@@ -91,7 +88,7 @@
     victims: tuple[str, ...] = ()
 
     def explain(self) -> str:
-        """Return the option in a few words."""
+        """Return a short description for explanations."""
         target = f" from {', '.join(self.victims)}" if self.victims else ""
         where = f" in {self.domain}" if self.domain else ""
         return (
@@ -102,7 +99,7 @@
 
 @dataclass(frozen=True)
 class Victim:
-    """A replica that could give its hosts, and what it would lose by that."""
+    """A replica that could be dissolved for its hosts, and the cost of doing so."""
 
     group: GroupRecord
     hosts: tuple[str, ...]
@@ -112,7 +109,7 @@
 
 
 def expected_absence_s(absent_s: float) -> float:
-    """Return how much longer a host is expected to stay away.
+    """Return how many more seconds an absent host is expected to stay absent.
 
     Examples
     ========
@@ -124,7 +121,7 @@
 
 
 class RepairPlanner:
-    """Weighs the ways to bring one replica back."""
+    """Computes and sorts the options to repair one replica."""
 
     def __init__(self, loads: LoadTimeModel):
         self._loads = loads
@@ -132,18 +129,18 @@
     def options_for_group(
         self, view: FleetView, group: GroupRecord, loading: int
     ) -> list[RepairOption]:
-        """Return the options for a broken group, the cheapest first.
+        """Return the options for a group that has lost members, the cheapest first.
 
         Parameters
         ==========
 
-        loading : hosts that are loading weights at the moment.
+        loading : number of hosts that are loading weights.
         """
         service = view.config.intent.service(group.service)
         lost = view.lost_members(group)
         options = []
         if any(self._remaining_absence_s(view.hosts.get(name)) > 0 for name in lost):
-            # Where all are back as new processes there is nothing to wait for.
+            # If all lost members have restarted, there is nothing to wait for.
             options.append(self._wait_option(view, service, group, lost, loading))
         for domain in self._candidate_domains(view, service, group.domain):
             option = self._assembly_option(view, service, domain, group, loading)
@@ -192,7 +189,7 @@
         cost += stranded_host_s * weights.stranded_accelerators + victim_cost
         return RepairOption(kind, downtime_s, stranded_host_s, cost, **fields)
 
-    # How long hosts stay away.
+    # Expected absence of hosts.
 
     def _longest_absence_s(self, view: FleetView, lost: list[str]) -> float:
         return max((self._remaining_absence_s(view.hosts.get(name)) for name in lost), default=0.0)
@@ -205,7 +202,7 @@
         return expected_absence_s(host.absent_s)
 
     def _shortest_absence_s(self, view: FleetView) -> float:
-        """Return when the next of the absent hosts is expected back."""
+        """Return the time in seconds until the first lost host is expected to return."""
         absences = [self._remaining_absence_s(h) for h in view.hosts.values() if h.lost]
         return min(absences, default=MAX_ABSENCE_S)
 
@@ -223,7 +220,7 @@
             view, service, RepairKind.WAIT, downtime_s, survivors * downtime_s
         )
 
-    # Putting a replica together in a domain.
+    # Assembly of a replica in one domain.
 
     def _assembly_option(
         self,
@@ -233,7 +230,7 @@
         group: GroupRecord | None,
         loading: int,
     ) -> RepairOption | None:
-        """Return the cheapest way to found_hosts the replica in ``domain``, if there is one."""
+        """Return the option to assemble the replica in ``domain``, if it is possible."""
         in_place = group is not None and group.domain == domain
         unusable = [n for n in group.hosts if self._is_unusable(view, n)] if in_place else []
         needed = len(unusable) if in_place else service.hosts_per_replica
@@ -256,7 +253,7 @@
         return self._build_assembly_option(view, service, domain, group, hosts, victims, loading)
 
     def _is_unusable(self, view: FleetView, name: str) -> bool:
-        """Whether a member can't be in the new group; a new process can."""
+        """Whether a host can't be in a new group; a host that has restarted can."""
         host = view.hosts.get(name)
         return host is None or host.lost or host.leaving
 
@@ -267,10 +264,10 @@
         lost = view.lost_members(group) if group else []
         kept = len([n for n in group.hosts if n not in lost]) if in_place else 0
         downtime_s = self._loads.load_seconds(len(hosts) - kept, loading)
-        # Each load takes the store from others that may need it.
+        # Each load delays other loads from the shared weight store.
         idle_host_s = len(hosts) * downtime_s + LOAD_PENALTY_HOST_S * (len(hosts) - kept)
         if group is not None and not in_place:
-            # The survivors are freed; they idle until something is made of them.
+            # Survivors that exceed the size of the new group stay idle.
             idle_host_s += max(0, len(group.hosts) - len(lost) - len(hosts)) * downtime_s
         kind = RepairKind.REFORM
         if victims:
@@ -289,12 +286,12 @@
             victims=tuple(v.group.replica for v in victims),
         )
 
-    # Victims.
+    # Choice of victims.
 
     def _choose_victims(
         self, view, service, domain, group, needed: int, loading: int
     ) -> list[Victim] | None:
-        """Return the cheapest victims by host that give ``needed`` hosts, or ``None``."""
+        """Return the victims with the lowest cost per host, ``None`` if too few hosts."""
         replica = group.replica if group else ""
         considered = [
             self._evaluate_victim(view, service, other, loading)
@@ -323,7 +320,7 @@
         else:
             downtime_s = reload_s + self._shortest_absence_s(view)
         if lost:
-            # It is down already: it loses only what its own wait is shorter by.
+            # The victim is already down, so only its additional downtime counts.
             downtime_s = max(
                 0.0,
                 downtime_s
@@ -346,11 +343,11 @@
 
 
 def downtime_weight(weights: MeasureWeights, service: ServiceIntent) -> float:
-    """Return the cost of a replica-second down; higher priorities weigh more."""
+    """Return the cost of one second of downtime; lower priority numbers cost more."""
     return weights.group_downtime * PRIORITY_COST_FACTOR ** (1 - service.priority)
 
 
 def loading_hosts(view: FleetView) -> int:
-    """Return how many hosts load weights at the moment."""
+    """Return how many member hosts are loading weights."""
     members = [h for h in view.hosts.values() if h.record.use is HostUse.MEMBER]
     return sum(h.report is not None and h.report.state == "loading" for h in members)
--- a/mulleinreach/groups/tests/test_repair.py
+++ b/mulleinreach/groups/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""Choosing a repair: what each situation calls for, and what the weights change."""
+"""Choice of repair options and placements, in a fleet built by each test."""
 
 from dataclasses import replace
 
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """A fleet that a test builds: domains of free hosts, then groups on them."""
+    """Builds a fleet: domains of free hosts, then groups on them."""
 
     def __init__(self, services, domains, downtime=1.0, stranded=1.0):
         measures = {"group_downtime": downtime, "stranded_accelerators": stranded}
--- a/mulleinreach/groups/view.py
+++ b/mulleinreach/groups/view.py
@@ -1,4 +1,4 @@
-"""What a control decision is taken from: services, hosts, groups, and their state."""
+"""The state of the fleet on which control decisions are based."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 
 @dataclass(frozen=True)
 class HostView:
-    """One engine host: what the platform, the table and its watchers say.
+    """One engine host, as given by the platform, the table and its watchers.
 
     Parameters
     ==========
 
-    report : the latest status that any watcher read, or ``None``.
-    absent_s : seconds since the latest status was asked for; infinite if never.
-    lost : whether that is long enough to act on, or the platform says gone.
-    leaving : whether it is drained by an operator or leaving by the host list.
+    report : the latest status that any watcher received, or ``None``.
+    absent_s : seconds since the latest status was requested; infinite without one.
+    lost : whether the host was absent for too long, or the host list reports it
+        as gone.
+    leaving : whether an operator drains the host, or the host list reports it
+        as leaving.
     """
 
     host: Host
@@ -37,7 +39,7 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether a new group may take this host."""
+        """Whether a new group may use this host."""
         return (
             self.record.use is HostUse.FREE
             and self.record.unresolved == 0
@@ -50,7 +52,16 @@
 
 @dataclass
 class FleetView:
-    """All of it at one moment; ``now`` in monotonic seconds, ``wall`` in Unix seconds."""
+    """The configuration, hosts and groups of the fleet at one time.
+
+    Parameters
+    ==========
+
+    now : monotonic time in seconds.
+    wall : Unix time in seconds.
+    reserved_names : hosts and replicas that changes decided from this view
+        already use; no further change may use them.
+    """
 
     now: float
     wall: float
@@ -60,7 +71,7 @@
     reserved_names: set[str] = field(default_factory=set)
 
     def free_hosts(self) -> list[HostView]:
-        """Return the hosts that a new group may take, in name order."""
+        """Return the hosts that a new group may use, sorted by name."""
         free = [
             h for h in self.hosts.values() if h.is_available and h.name not in self.reserved_names
         ]
@@ -71,7 +82,7 @@
         return [g for g in self.groups if g.service == service]
 
     def lost_members(self, group: GroupRecord) -> list[str]:
-        """Return the members that are lost, or came back as a new process."""
+        """Return the members that are lost or whose engine process has restarted."""
         return [name for name in group.hosts if self._is_member_lost(name)]
 
     def _is_member_lost(self, name: str) -> bool:
@@ -81,7 +92,7 @@
         return view.report is not None and view.report.incarnation != view.record.incarnation
 
     def is_ready(self, group: GroupRecord) -> bool:
-        """Whether each member says that it is ready in this group."""
+        """Whether every member reports that it is ready in this group and epoch."""
         for name in group.hosts:
             view = self.hosts.get(name)
             report = view.report if view else None
@@ -92,7 +103,7 @@
         return True
 
     def is_outdated(self, group: GroupRecord) -> bool:
-        """Whether the service now asks for another model, version, adapters or size."""
+        """Whether the service has changed its model, version, adapters or size, or is removed."""
         service = self.config.intent.service(group.service)
         if service is None:
             return True
@@ -101,7 +112,7 @@
         return wanted != held or service.hosts_per_replica != len(group.hosts)
 
     def needs_replacement(self, group: GroupRecord) -> bool:
-        """Whether a group should make way for another one, in order."""
+        """Whether the group is draining, is outdated, or has a member that is leaving."""
         if group.state is GroupState.DRAINING or self.is_outdated(group):
             return True
         return any(self.hosts[name].leaving for name in group.hosts if name in self.hosts)
--- a/mulleinreach/groups/watch.py
+++ b/mulleinreach/groups/watch.py
@@ -1,11 +1,8 @@
-"""Watching hosts: which nodes watch which, and what each knows of a replica.
+"""Status polling of hosts, and tracking of replicas' health.
 
-Explanation
-===========
-
-Each replica is watched by ``WATCHERS_PER_REPLICA`` nodes, chosen by rendezvous hashing over
-the nodes that answer. A watcher asks every member for its status, one task for
-each host. What a status says is dated from before it was asked for.
+Each replica is watched by ``WATCHERS_PER_REPLICA`` nodes, selected by rendezvous
+hashing over the nodes that answer. A watcher polls the status of every member,
+with one task per host. The age of a status counts from just before its request.
 """
 
 from __future__ import annotations
@@ -25,19 +22,22 @@
 
 @dataclass(frozen=True)
 class StatusObservation:
-    """A status, and the monotonic time before which it was asked for."""
+    """A status, and the monotonic time in seconds just before it was requested."""
 
     status: EngineStatus
     asked_at: float
 
 
 def is_member_ready(status: EngineStatus, replica: str, epoch: int) -> bool:
-    """Whether an engine says that it works in the group (replica, epoch)."""
+    """Whether an engine reports that it is ready in the group (replica, epoch)."""
     return status.replica == replica and status.epoch == epoch and status.state == "ready"
 
 
 class HostPoller:
-    """Asks hosts for their status; one task for each host that this node watches."""
+    """Polls the status of the hosts that this node watches, with one task per host.
+
+    ``on_broken`` is called once per epoch when a group's member stops being ready.
+    """
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.host_observations: dict[str, StatusObservation] = {}
 
     def assign(self, addresses: dict[str, Address], groups: list[GroupRecord]) -> None:
-        """Watch exactly the hosts in ``addresses``; ``groups`` are those that we report."""
+        """Set the hosts to poll to ``addresses``, and the groups to report to ``groups``."""
         self._groups = {host: group for group in groups for host in group.hosts}
         for host in list(self._poll_tasks):
             if addresses.get(host) != self._addresses.get(host):
@@ -93,16 +93,16 @@
             self._on_broken(group, f"{host} is no longer ready in epoch {group.epoch}")
 
     async def stop(self) -> None:
-        """End all polling."""
+        """Stop all polling."""
         await self._tasks.close()
 
     def report_hosts(self) -> list[HostReport]:
-        """Return what is known of each watched host."""
+        """Return the latest status of each watched host as a report."""
         now = self._clock.now()
         return [_report_host(s, now) for s in self.host_observations.values()]
 
     def report_replica(self, group: GroupRecord, sent: int) -> ReplicaReport | None:
-        """Return what is known of a group, or ``None`` while a member was never seen."""
+        """Return a report on a group, or ``None`` if a member has not been polled yet."""
         host_observations = [self.host_observations.get(host) for host in group.hosts]
         if any(observation is None for observation in host_observations):
             return None
@@ -135,7 +135,7 @@
 
 
 def watchers_of(key: str, nodes: list[str]) -> list[str]:
-    """Return the nodes that watch a replica, or a host that is in none.
+    """Return the nodes that watch a replica, or a host that is in no replica.
 
     Examples
     ========
@@ -148,7 +148,7 @@
 
 @dataclass
 class ReplicaStatus:
-    """What a node knows of a replica; times on its own monotonic clock."""
+    """The latest reported status of a replica; times are local monotonic seconds."""
 
     epoch: int
     confirmed_at: float = NEVER
@@ -159,13 +159,10 @@
 
 
 class ReplicaHealthTracker:
-    """Which replicas are known, by fresh evidence, to be whole.
-
-    Explanation
-    ===========
+    """Tracks which replicas are whole, i.e. have all members ready in one epoch.
 
-    Silence makes evidence age out by itself; a withdrawal voids at once all
-    evidence that was asked for before the withdrawal came.
+    A report that confirms a replica as whole expires after ``max_age_s`` seconds.
+    A withdrawal immediately invalidates all statuses requested before it arrived.
     """
 
     def __init__(self, clock: Clock, max_age_s: float):
@@ -175,7 +172,7 @@
         self._withdrawn_at: dict[str, tuple[int, float]] = {}
 
     def record_report(self, replica: str, report: ReplicaReport, asked_at: float) -> None:
-        """Take in a report on ``replica`` whose answer was asked for at ``asked_at``."""
+        """Record a report on ``replica`` that was requested at ``asked_at``."""
         status = self._statuses.get(replica)
         if status is None or report.epoch > status.epoch:
             status = self._statuses[replica] = ReplicaStatus(report.epoch)
@@ -193,7 +190,7 @@
         return epoch <= withdrawn and confirmed_at <= at
 
     def withdraw(self, replica: str, epoch: int) -> bool:
-        """Void the evidence of a replica up to ``epoch``; returns whether that is news."""
+        """Invalidate the status of a replica up to ``epoch``; return whether that is new."""
         is_new = self._withdrawn_at.get(replica, (0, NEVER))[0] < epoch
         self._withdrawn_at[replica] = (epoch, self._clock.now())
         status = self._statuses.get(replica)
@@ -202,23 +199,23 @@
         return is_new
 
     def is_whole(self, replica: str, epoch: int) -> bool:
-        """Whether the group (replica, epoch) may be sent work at this moment."""
+        """Whether the group (replica, epoch) was confirmed as whole recently enough."""
         status = self._statuses.get(replica)
         if status is None or status.epoch != epoch:
             return False
         return self._clock.now() - status.confirmed_at < self._max_age_s
 
     def evidence(self, replica: str) -> ReplicaStatus | None:
-        """Return what is known of a replica, for routing and explanations."""
+        """Return the latest status of a replica, if any was reported."""
         return self._statuses.get(replica)
 
     def age_s(self, replica: str) -> float:
-        """Return the age of the latest confirmation in seconds, infinite without one."""
+        """Return the seconds since the replica was last confirmed as whole, else infinity."""
         status = self._statuses.get(replica)
         return self._clock.now() - status.confirmed_at if status else float("inf")
 
     def keep_only(self, replicas: set[str]) -> None:
-        """Forget replicas that are in no group any more."""
+        """Remove the status of all replicas that are not in ``replicas``."""
         for name in list(self._statuses):
             if name not in replicas:
                 del self._statuses[name]
