--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -90,11 +90,11 @@
     considered = tuple(
         _evaluate_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
     )
-    possible = [choice for choice in considered if choice.cost is not None]
+    possible = [candidate for candidate in considered if candidate.cost is not None]
     if not possible:
-        most = max((choice.free for choice in considered), default=0)
-        return Shortage(service.hosts_per_replica - most, considered)
-    best = min(possible, key=lambda choice: (choice.cost, choice.domain))
+        max_free = max((candidate.free for candidate in considered), default=0)
+        return Shortage(service.hosts_per_replica - max_free, considered)
+    best = min(possible, key=lambda candidate: (candidate.cost, candidate.domain))
     return Placement(best.domain, best.hosts, considered)
 
 
@@ -139,7 +139,7 @@
 
 
 def pick_hosts(free: list[HostView], size: int) -> tuple[str, ...]:
-    """Return the names of ``size`` of the hosts, from few racks (a greedy choice)."""
+    """Return the names of ``size`` of the hosts, preferring few racks."""
     per_rack = Counter(view.host.rack for view in free)
 
     def rack_order(view: HostView) -> tuple:
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -114,9 +114,9 @@
         if not lost or service is None:
             return (0.0, group.replica)
         weights = self._view.config.intent.measures
-        rate = downtime_weight(weights, service)
-        rate += weights.stranded_accelerators * (len(group.hosts) - lost)
-        return (-rate / lost, group.replica)
+        cost_rate = downtime_weight(weights, service)
+        cost_rate += weights.stranded_accelerators * (len(group.hosts) - lost)
+        return (-cost_rate / lost, group.replica)
 
     def update_group(self, group: GroupRecord, is_drained) -> None:
         """Decide the next change of an existing group."""
@@ -243,7 +243,7 @@
         replica_count = len(remaining)
         while replica_count < service.replicas and len(self.decision.changes) < max_changes:
             placement = place_replica(view, service)
-            considered = "; ".join(choice.explain() for choice in placement.considered)
+            considered = "; ".join(candidate.explain() for candidate in placement.considered)
             if isinstance(placement, Shortage):
                 if not self._form_with_victims(service):
                     self._note_shortage(service, placement, considered)
@@ -325,14 +325,14 @@
         incarnation = view.report.incarnation if view.report else view.record.incarnation
         # Copies of orders for an earlier process have no effect on this one.
         same_process = incarnation == view.record.incarnation
-        before = view.record.unresolved if same_process else 0
+        still_unresolved = view.record.unresolved if same_process else 0
         return view.record.with_order(
             action,
             use=use,
             replica=replica,
             epoch=epoch,
             incarnation=incarnation,
-            unresolved=before + 1 if unchecked else 0,
+            unresolved=still_unresolved + 1 if unchecked else 0,
             copies=1,
             sender=self._lease_epoch,
         )
@@ -346,9 +346,9 @@
         self._view.reserved_names.update(row.name for row in change.hosts)
         self._view.reserved_names.add(change.subject)
         self._view.reserved_names.update(group.replica for group in change.removed)
-        gone = {group.replica for group in change.removed}
-        if gone:
-            self._view.groups[:] = [g for g in self._view.groups if g.replica not in gone]
+        removed = {group.replica for group in change.removed}
+        if removed:
+            self._view.groups[:] = [g for g in self._view.groups if g.replica not in removed]
         if change.action == "form":
             # Later placements in the same view must take the new group into account.
             self._view.groups.append(change.group)
--- a/mulleinreach/groups/watch.py
+++ b/mulleinreach/groups/watch.py
@@ -103,16 +103,16 @@
 
     def report_replica(self, group: GroupRecord, sent: int) -> ReplicaReport | None:
         """Return a report on a group, or ``None`` if a member has not been polled yet."""
-        host_observations = [self.host_observations.get(host) for host in group.hosts]
-        if any(observation is None for observation in host_observations):
+        observations = [self.host_observations.get(host) for host in group.hosts]
+        if any(observation is None for observation in observations):
             return None
         now = self._clock.now()
-        head = host_observations[0].status
-        ready = [is_member_ready(s.status, group.replica, group.epoch) for s in host_observations]
+        head = observations[0].status
+        ready = [is_member_ready(s.status, group.replica, group.epoch) for s in observations]
         return ReplicaReport(
             epoch=group.epoch,
             whole=all(ready),
-            age_ms=int(1000 * (now - min(s.asked_at for s in host_observations))),
+            age_ms=int(1000 * (now - min(s.asked_at for s in observations))),
             running=head.running,
             waiting=head.waiting,
             slots=head.slots,
@@ -186,8 +186,8 @@
             status.slots, status.reported_at = report.slots, asked_at
 
     def _is_invalidated(self, replica: str, epoch: int, confirmed_at: float) -> bool:
-        withdrawn, at = self._withdrawn_at.get(replica, (0, NEVER))
-        return epoch <= withdrawn and confirmed_at <= at
+        withdrawn_epoch, withdrawn_at = self._withdrawn_at.get(replica, (0, NEVER))
+        return epoch <= withdrawn_epoch and confirmed_at <= withdrawn_at
 
     def withdraw(self, replica: str, epoch: int) -> bool:
         """Invalidate the status of a replica up to ``epoch``; return whether that is new."""
