--- a/benchmarks/control_traffic.py
+++ b/benchmarks/control_traffic.py
@@ -14,7 +14,7 @@
 from mulleinreach.common import Address
 from mulleinreach.gateway.coordination.frames import FrameWriter
 from mulleinreach.gateway.coordination.hub import report_interval_s
-from mulleinreach.gateway.coordination.lease import RENEW_S, SECRET_BYTES
+from mulleinreach.gateway.coordination.lease import RENEW_INTERVAL_S, SECRET_BYTES
 from mulleinreach.gateway.coordination.messages import (
     encode_coordinator_report,
     encode_list,
@@ -26,9 +26,9 @@
     OpenHead,
     Totals,
 )
-from mulleinreach.gateway.coordination.totals import REPEAT_EVERY
+from mulleinreach.gateway.coordination.totals import FULL_TOTALS_INTERVAL_ROUNDS
 from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.reading import LONG_WAIT_S
+from mulleinreach.gateway.known.reading import READER_WAIT_S
 from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream
 
@@ -115,7 +115,7 @@
     """Return the mean size of a coordinator's report before compression."""
     with_heads = len(coordinator_report(rng, True))
     without = len(coordinator_report(rng, False))
-    return (with_heads + (REPEAT_EVERY - 1) * without) / REPEAT_EVERY
+    return (with_heads + (FULL_TOTALS_INTERVAL_ROUNDS - 1) * without) / FULL_TOTALS_INTERVAL_ROUNDS
 
 
 def render() -> str:
@@ -129,8 +129,8 @@
         ("messages taken a second", reports_s, others * reports_s, "the same connection"),
         ("KiB sent a second", up / KIB, others * down / KIB, "packed, before compression"),
         ("KiB taken a second", down / KIB, others * up / KIB, "packed, before compression"),
-        ("renewals of the lease a second", 0, 1 / RENEW_S, "a write under conditions"),
-        ("waits at the store a second, at rest", 0, 2 / LONG_WAIT_S, "two tables, long polls"),
+        ("renewals of the lease a second", 0, 1 / RENEW_INTERVAL_S, "a write under conditions"),
+        ("waits at the store a second, at rest", 0, 2 / READER_WAIT_S, "two tables, long polls"),
     ]
     lines = ["", "| what | a node | the coordinator | mechanism |", "|---|---|---|---|"]
     lines += [f"| {name} | {a:,.1f} | {b:,.1f} | {how} |" for name, a, b, how in rows]
@@ -163,7 +163,9 @@
     PAGE.write_text(f"{head}{BEGIN}{render()}{END}{tail}")
     rng = random.Random(1)
     up = compressed_bytes_s(lambda _: node_report(rng))
-    down = compressed_bytes_s(lambda n: coordinator_report(rng, n % REPEAT_EVERY == 0))
+    down = compressed_bytes_s(
+        lambda n: coordinator_report(rng, n % FULL_TOTALS_INTERVAL_ROUNDS == 0)
+    )
     print(f"compressed, KiB/s: a node sends {up / KIB:.1f}, is sent {down / KIB:.1f}")
     print(f"times the limit of a node: {(up + down) / LIMIT_BYTES_S:.0f}")
     print(f"coordinator sends {(NODES - 1) * down / KIB:,.0f}, takes {(NODES - 1) * up / KIB:,.0f}")
--- a/benchmarks/ends.py
+++ b/benchmarks/ends.py
@@ -10,7 +10,7 @@
 import time
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.crashes import CrashBook, Sighting
+from mulleinreach.gateway.known.crashes import CrashTracker, RunObservation
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 
 UPSTREAMS = 100
@@ -18,11 +18,11 @@
 TELLINGS = 10
 
 
-def make_sightings() -> list[Sighting]:
+def make_sightings() -> list[RunObservation]:
     """Return what nodes tell when upstreams of three halls end with requests in flight."""
     rng = random.Random(1)
     return [
-        Sighting(
+        RunObservation(
             rng.getrandbits(64),
             rng.getrandbits(64),
             f"u{number}",
@@ -44,7 +44,7 @@
 
 async def measure() -> None:
     """Print the figures."""
-    book = CrashBook(Clock(), EventLog("benchmark"), random.Random(1), lambda content: None)
+    book = CrashTracker(Clock(), EventLog("benchmark"), random.Random(1), lambda content: None)
     told = make_sightings()
     first_ms = milliseconds(lambda: book.take(told))
     again_ms = milliseconds(lambda: [book.take(told) for _ in range(TELLINGS)])
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -15,9 +15,13 @@
 from mulleinreach.gateway.coordination.messages import encode_node_report
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import NodeReport
-from mulleinreach.gateway.coordination.tests.limit_desk import Desk
+from mulleinreach.gateway.coordination.tests.limit_desk import LimitHarness
 from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.tests.limited import allowed, most_in_a_window, rate
+from mulleinreach.gateway.tests.limited import (
+    max_allowed_requests,
+    max_requests_in_window,
+    requests_per_s,
+)
 
 NODES = (8, 30, 350)
 LIMITS = (0.5, 1.1, 2.0, 20.0)
@@ -37,18 +41,18 @@
 
 def use_of_limit(nodes: int, limit: float, demand: Demand) -> tuple[float, int]:
     """Return how much of a limit is used, and the most requests within a window."""
-    desk, rng = Desk(nodes, limit), random.Random(nodes)
+    desk, rng = LimitHarness(nodes, limit), random.Random(nodes)
     askers = [0] if demand.is_at_one else range(nodes)
     began_at, step_s = desk.clock.now(), report_interval_s(nodes)
     while desk.clock.now() < began_at + SECONDS:
         asks = step_s * demand.per_s / len(askers)
         for number in askers:
             for _ in range(int(asks) + (rng.random() < asks % 1)):
-                desk.ask_and_wait(number)
+                desk.send_or_wait(number)
         desk.allocate(set(range(nodes)))
         desk.clock.at += step_s
-    used = rate(desk.sent_at, began_at + WARM_UP_S, began_at + SECONDS) / limit
-    return used, most_in_a_window(desk.sent_at)
+    used = requests_per_s(desk.sent_at, began_at + WARM_UP_S, began_at + SECONDS) / limit
+    return used, max_requests_in_window(desk.sent_at)
 
 
 def cost_of_allocation(nodes: int) -> tuple[float, float]:
@@ -78,7 +82,7 @@
             )
             for demand in demands:
                 used, most = use_of_limit(nodes, limit, demand)
-                bound = allowed(limit)
+                bound = max_allowed_requests(limit)
                 print(f"| {nodes} | {limit} | {demand.name} | {used:.2f} | {most}, {bound:g} |")
     print(f"\n{LIMITED_UPSTREAMS} limits, all nodes want permits for all of them:")
     for nodes in NODES:
--- a/mulleinreach/gateway/coordination/election.py
+++ b/mulleinreach/gateway/coordination/election.py
@@ -18,21 +18,21 @@
 from mulleinreach.gateway.known.turns import AMPLE_CORES
 
 # Nodes that notice together that the lease is free must not all write in the same moment.
-MAX_ELECTION_DELAY_S = 0.06
+MAX_ELECTION_JITTER_S = 0.06
 # With a hundred nodes, the coordinator's answers take a tenth of such a link.
 AMPLE_LINK_MBPS = 40.0
 # Three times the random delay, so that the best nodes have written by then; callers wait for
 # the repair of lost groups meanwhile, so no longer.
-SCARCITY_DELAY_S = 0.2
+MAX_RESOURCE_DELAY_S = 0.2
 
 
 def election_delay_s(identity: GatewayIdentity, rng: random.Random) -> float:
     """Return for how long a node waits before it asks: a random time, and by what it lacks."""
-    own_s = scarcity_delay_s(identity.processor_cores, identity.link_mbps)
-    return rng.uniform(0, MAX_ELECTION_DELAY_S) + own_s
+    own_s = resource_delay_s(identity.processor_cores, identity.link_mbps)
+    return rng.uniform(0, MAX_ELECTION_JITTER_S) + own_s
 
 
-def scarcity_delay_s(processor_cores: float, link_mbps: float) -> float:
+def resource_delay_s(processor_cores: float, link_mbps: float) -> float:
     """Return for how long a node leaves it to better ones to become coordinator.
 
     What it lacks most decides: a coordinator is as quick as the scarcer of both.
@@ -40,12 +40,12 @@
     Examples
     ========
 
-    >>> scarcity_delay_s(2.0, 100.0)
+    >>> resource_delay_s(2.0, 100.0)
     0.0
-    >>> scarcity_delay_s(0.5, 100.0)
+    >>> resource_delay_s(0.5, 100.0)
     0.1
-    >>> scarcity_delay_s(2.0, 20.0), scarcity_delay_s(0.5, 20.0)
+    >>> resource_delay_s(2.0, 20.0), resource_delay_s(0.5, 20.0)
     (0.1, 0.1)
     """
     scarcest = min(processor_cores / AMPLE_CORES, link_mbps / AMPLE_LINK_MBPS)
-    return SCARCITY_DELAY_S * max(0.0, 1.0 - scarcest)
+    return MAX_RESOURCE_DELAY_S * max(0.0, 1.0 - scarcest)
--- a/mulleinreach/gateway/coordination/follower.py
+++ b/mulleinreach/gateway/coordination/follower.py
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.coordination.frames import FrameReader, FrameWriter, PeerError
 from mulleinreach.gateway.coordination.hub import (
     MAX_BUFFERED_BYTES,
-    SILENCE_S,
+    REPORT_TIMEOUT_S,
     report_interval_s,
 )
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, Resignation
@@ -23,21 +23,21 @@
 from mulleinreach.gateway.coordination.reports import (
     CoordinatorReport,
 )
-from mulleinreach.gateway.coordination.succession import CONNECT_S
+from mulleinreach.gateway.coordination.succession import CONNECT_TIMEOUT_S
 
 # Evidence that is younger shows that this node reads the store itself.
-OWN_EVIDENCE_S = 0.9
+MAX_OWN_EVIDENCE_AGE_S = 0.9
 
 
-class EndReason(enum.Enum):
+class FollowEndReason(enum.Enum):
     """Why following a coordinator came to its end."""
 
     # Its machine refused the connection.
     PROCESS_GONE = enum.auto()
     # No report ever came.
-    UNREACHED = enum.auto()
+    UNREACHABLE = enum.auto()
     # Its reports came, and come no more.
-    LOST = enum.auto()
+    CONNECTION_LOST = enum.auto()
     # It can't renew its lease, and this node can read the store.
     RESIGNED = enum.auto()
     # It told of its successor.
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class FollowingEnded:
+class FollowEnd:
     """The end of following a coordinator.
 
     Parameters
@@ -54,7 +54,7 @@
     resignation : the coordinator's word, if it has resigned.
     """
 
-    reason: EndReason
+    reason: FollowEndReason
     resignation: Resignation | None = None
 
 
@@ -77,45 +77,49 @@
         # How many nodes there are, as the latest coordinator told.
         self.node_count = 1
 
-    async def follow(self, address: Address) -> FollowingEnded:
+    async def follow(self, address: Address) -> FollowEnd:
         """Follow the coordinator at an address until that comes to an end."""
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await self._network.connect(address)
         except ConnectionRefusedError:
-            return FollowingEnded(EndReason.PROCESS_GONE)
+            return FollowEnd(FollowEndReason.PROCESS_GONE)
         except (OSError, TimeoutError):
-            return FollowingEnded(EndReason.UNREACHED)
+            return FollowEnd(FollowEndReason.UNREACHABLE)
         sending = asyncio.create_task(self._send_reports(FrameWriter(writer)))
         try:
-            return await self._take_reports(FrameReader(reader))
+            return await self._receive_reports(FrameReader(reader))
         finally:
             self.is_following = False
             sending.cancel()
             writer.close()
 
-    async def _take_reports(self, frames: FrameReader) -> FollowingEnded:
+    async def _receive_reports(self, frames: FrameReader) -> FollowEnd:
         """Take the coordinator's reports until it falls silent, resigns or is replaced."""
         try:
             while True:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(REPORT_TIMEOUT_S):
                     report = decode_coordinator_report(await frames.read())
                 self.is_following = True
                 self.node_count = report.totals.nodes
-                self._take(report)
+                self._apply(report)
                 if self._is_replaced(report):
                     self._lease.adopt(report.totals.successor)
-                    return FollowingEnded(EndReason.REPLACED)
+                    return FollowEnd(FollowEndReason.REPLACED)
                 if self._can_replace(report):
-                    return FollowingEnded(EndReason.RESIGNED, report.totals.resignation)
+                    return FollowEnd(FollowEndReason.RESIGNED, report.totals.resignation)
         except (PeerError, OSError, TimeoutError):
-            return FollowingEnded(EndReason.LOST if self.is_following else EndReason.UNREACHED)
+            return FollowEnd(
+                FollowEndReason.CONNECTION_LOST
+                if self.is_following
+                else FollowEndReason.UNREACHABLE
+            )
 
-    def _take(self, report: CoordinatorReport) -> None:
+    def _apply(self, report: CoordinatorReport) -> None:
         """Take a report; what it tells is no older than what it answers."""
-        answered = self._own_reports.sent(report.echoed_seq)
+        answered = self._own_reports.find_sent(report.echoed_seq)
         if answered is not None:
-            self._knowledge.take(report, answered.at, answered.loads)
+            self._knowledge.take(report, answered.sent_at, answered.loads)
 
     def _is_replaced(self, report: CoordinatorReport) -> bool:
         """Whether the coordinator tells of a later one."""
@@ -125,7 +129,7 @@
     def _can_replace(self, report: CoordinatorReport) -> bool:
         """Whether the coordinator has resigned for want of a store that we can read."""
         is_resigned = report.totals.resignation is not None
-        return is_resigned and self._knowledge.evidence_age_s() < OWN_EVIDENCE_S
+        return is_resigned and self._knowledge.evidence_age_s() < MAX_OWN_EVIDENCE_AGE_S
 
     async def _send_reports(self, writer: FrameWriter) -> None:
         while not writer.is_closing():
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -28,31 +28,31 @@
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, NodeReport
-from mulleinreach.gateway.coordination.totals import TotalsShortener, sum_loads
+from mulleinreach.gateway.coordination.totals import TotalsCompactor, sum_loads
 from mulleinreach.gateway.known.permits import PermitCount
 
 REPORT_INTERVAL_S = 0.1
 # With many nodes the reports would take too much of a slow coordinator's time.
-LARGE_INTERVAL_S = 0.2
-LARGE_NODES = 32
+LARGE_CLUSTER_INTERVAL_S = 0.2
+SMALL_CLUSTER_MAX_NODES = 32
 # A connection on which no report came for so long is given up.
-SILENCE_S = 1.0
+REPORT_TIMEOUT_S = 1.0
 MAX_BUFFERED_BYTES = 262_144
 # A node that can read the store has by then noticed that its evidence is old (1.5 s),
 # has read and asked for the lease (0.3 s), and has left a coordinator that resigned.
-REPLACED_BY_S = 2.0
+REPLACEMENT_DEADLINE_S = 2.0
 # A hall that fails is found within some seconds of its nodes' last reports. Nodes that were
 # taken away should not count for longer.
-HEARD_MEMORY_S = 5.0
+RECENT_NODE_TTL_S = 5.0
 
 
 def report_interval_s(node_count: int) -> float:
     """Return the time between two reports, which all nodes keep."""
-    return REPORT_INTERVAL_S if node_count <= LARGE_NODES else LARGE_INTERVAL_S
+    return REPORT_INTERVAL_S if node_count <= SMALL_CLUSTER_MAX_NODES else LARGE_CLUSTER_INTERVAL_S
 
 
 @dataclass(frozen=True)
-class HeardNode:
+class RecentNode:
     """A node as it was heard last; its connection may have ended since then.
 
     Parameters
@@ -66,9 +66,9 @@
 
 
 @dataclass(frozen=True)
-class _Heard:
+class _ReceivedReport:
     report: NodeReport
-    at: float
+    received_at: float
 
 
 @dataclass(eq=False)
@@ -109,16 +109,16 @@
         self._knowledge = knowledge
         self._own_report = own_report
         self._members: dict[object, _Member] = {}
-        self._heard: dict[str, _Heard] = {}
+        self._received: dict[str, _ReceivedReport] = {}
         self._server: asyncio.AbstractServer | None = None
-        self._shortener = TotalsShortener()
+        self._compactor = TotalsCompactor()
         self._latest_totals: bytes | None = None
         self._numbering = NodeNumbers(clock.now())
         self._allocator = PermitAllocator(clock.now())
         self._encoded_list: tuple[int, bytes] = (0, b"")
         self._resignation: Resignation | None = None
         self._resigned_at = 0.0
-        self._has_deserters = False
+        self._has_lost_members = False
         # Who has replaced this coordinator, as the new one told here.
         self.successor: Successor | None = None
         self.is_open = False
@@ -133,18 +133,18 @@
     def resignation(self, resignation: Resignation | None) -> None:
         if self._resignation is None:
             self._resigned_at = self._clock.now()
-            self._has_deserters = False
+            self._has_lost_members = False
         self._resignation = resignation
 
-    def is_store_away(self) -> bool:
+    def is_store_unavailable(self) -> bool:
         """Whether no node can read the store, as far as can be told here.
 
         A node that can read it replaces a coordinator that has resigned, and leaves.
         A coordinator that nobody reports to can't tell an outage from a cut.
         """
-        if self._resignation is None or self._has_deserters or not self._members:
+        if self._resignation is None or self._has_lost_members or not self._members:
             return False
-        return self._clock.now() - self._resigned_at > REPLACED_BY_S
+        return self._clock.now() - self._resigned_at > REPLACEMENT_DEADLINE_S
 
     async def listen(self) -> None:
         """Listen for other nodes; they are heard while the hub is open."""
@@ -172,11 +172,11 @@
             totals = replace(
                 totals,
                 resignation=self.resignation,
-                is_store_away=self.is_store_away(),
+                is_store_unavailable=self.is_store_unavailable(),
                 successor=self.successor,
                 numbers=self._numbers(),
             )
-            encoded = self._latest_totals = encode_totals(self._shortener.shorten(totals))
+            encoded = self._latest_totals = encode_totals(self._compactor.compact(totals))
             permits = self._allocate_permits(reports[0])
             for member in list(self._members.values()):
                 if member.report is not None:
@@ -193,11 +193,11 @@
             known = [m for m in self._members.values() if m.report is not None]
             self._numbering.update(known, self._clock.now())
             return self._numbering.count
-        return self._numbering.count if self.is_store_away() else 0
+        return self._numbering.count if self.is_store_unavailable() else 0
 
     def _allocate_permits(self, own_report: NodeReport) -> dict[_Member | None, list[PermitCount]]:
-        """Return the permits that each member gets now; this node's own stand at ``None``."""
-        if not (self._lease.is_held() or self.is_store_away()):
+        """Return the permits that each member gets now; this node's own stand received_at ``None``."""
+        if not (self._lease.is_held() or self.is_store_unavailable()):
             return {}
         wanted: dict[_Member | None, tuple[PermitCount, ...]] = {None: own_report.wanted}
         for member in self._members.values():
@@ -225,7 +225,7 @@
             totals,
             changes or [],
             is_unknown,
-            self._lacking(member),
+            self._missing_configuration(member),
             whole_list,
             self._numbering.number_of(member),
             permits,
@@ -249,7 +249,7 @@
         member.has_list, member.sent_revision = True, whole.revision
         return self._encoded_list[1]
 
-    def _lacking(self, member: _Member) -> bytes:
+    def _missing_configuration(self, member: _Member) -> bytes:
         """Return the configuration if a member lacks it; each is sent to it once."""
         version = self._knowledge.configuration_version()
         if max(member.report.configuration_version, member.sent_configuration) >= version:
@@ -263,21 +263,26 @@
             m.report for m in self._members.values() if m.report is not None
         ]
 
-    def heard_nodes(self) -> list[HeardNode]:
+    def recent_nodes(self) -> list[RecentNode]:
         """Return the nodes that were heard lately, connected or not, our own first."""
         now = self._clock.now()
-        self._heard = {n: h for n, h in self._heard.items() if now - h.at <= HEARD_MEMORY_S}
-        others = [HeardNode(heard.report, now - heard.at) for heard in self._heard.values()]
-        return [HeardNode(self._own_report(), 0.0), *others]
+        self._received = {
+            n: h for n, h in self._received.items() if now - h.received_at <= RECENT_NODE_TTL_S
+        }
+        others = [
+            RecentNode(received.report, now - received.received_at)
+            for received in self._received.values()
+        ]
+        return [RecentNode(self._own_report(), 0.0), *others]
 
-    def _note_heard(self, report: NodeReport) -> None:
+    def _record_report(self, report: NodeReport) -> None:
         """Note when a node was heard; one that stops as planned is silent from then on."""
         if report.is_stopping:
-            self._heard.pop(report.node, None)
+            self._received.pop(report.node, None)
         else:
-            self._heard[report.node] = _Heard(report, self._clock.now())
+            self._received[report.node] = _ReceivedReport(report, self._clock.now())
 
-    def _take_successor(self, successor: Successor) -> None:
+    def _accept_successor(self, successor: Successor) -> None:
         """Take the word of a new coordinator, which has read this one's secret in the row."""
         if successor.token > self._lease.token:
             self.successor = successor
@@ -290,18 +295,18 @@
         self._members[key] = member
         try:
             while self.is_open:
-                async with asyncio.timeout(SILENCE_S):
+                async with asyncio.timeout(REPORT_TIMEOUT_S):
                     report = decode_node_report(await frames.read())
                 if not hmac.compare_digest(report.secret, self._lease.secret):
                     raise PeerError("a report without the secret of the lease")
                 if report.successor is not None:
-                    self._take_successor(report.successor)
+                    self._accept_successor(report.successor)
                     return
                 is_first = member.report is None
                 member.report = report
-                self._knowledge.take_sightings(report.sightings)
-                self._knowledge.take_limits(report.limits)
-                self._note_heard(report)
+                self._knowledge.merge_sightings(report.sightings)
+                self._knowledge.merge_limits(report.limits)
+                self._record_report(report)
                 if is_first and self._latest_totals is not None:
                     # What a node knows at its start it should know at once.
                     self._report_to(member, self._latest_totals)
@@ -311,5 +316,5 @@
             self._members.pop(key, None)
             is_expected = member.report is None or member.report.is_stopping
             if self._resignation is not None and not is_expected:
-                self._has_deserters = True
+                self._has_lost_members = True
             writer.close()
--- a/mulleinreach/gateway/coordination/lease_document.py
+++ b/mulleinreach/gateway/coordination/lease_document.py
@@ -6,7 +6,7 @@
 
 from mulleinreach.gateway.known.content import format_digest, parse_digest
 from mulleinreach.gateway.known.crashes import held_contents
-from mulleinreach.gateway.model import HeldContent, Inheritance, RouteWait
+from mulleinreach.gateway.model import CallerTimeout, HandoverState, HeldContent
 from mulleinreach.gateway.ports import LeaseRecord
 
 
@@ -16,7 +16,7 @@
     Examples
     ========
 
-    >>> inheritance = Inheritance((RouteWait("r", 5.5),), held=(HeldContent(7, 60.0),))
+    >>> inheritance = HandoverState((CallerTimeout("r", 5.5),), held=(HeldContent(7, 60.0),))
     >>> record = LeaseRecord("a.1", "10.0.0.1:1", 1, 0, "secret", inheritance)
     >>> decode_record(encode_record(record)) == record
     True
@@ -52,20 +52,20 @@
         return None
 
 
-def _decode_inheritance(document: dict) -> Inheritance:
+def _decode_inheritance(document: dict) -> HandoverState:
     """Return what a coordinator left; nothing if that can't be read.
 
     Earlier releases left less. Nobody needs any of it to coordinate.
     """
     try:
         waits = document.get("first_waits", {}).items()
-        return Inheritance(
-            tuple(RouteWait(str(route), float(shortest_s)) for route, shortest_s in waits),
+        return HandoverState(
+            tuple(CallerTimeout(str(route), float(shortest_s)) for route, shortest_s in waits),
             _decode_held(document),
         )
     except (TypeError, ValueError, AttributeError) as error:
         logging.warning("event=inheritance_unreadable why=%r", error)
-        return Inheritance()
+        return HandoverState()
 
 
 def _decode_held(document: dict) -> tuple[HeldContent, ...]:
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -18,19 +18,19 @@
 
 from mulleinreach.common import Address, Clock, EventLog, Network
 from mulleinreach.gateway.coordination.election import election_delay_s
-from mulleinreach.gateway.coordination.follower import EndReason, Follower
+from mulleinreach.gateway.coordination.follower import FollowEndReason, Follower
 from mulleinreach.gateway.coordination.frames import PeerError
-from mulleinreach.gateway.coordination.hub import HeardNode, MemberHub
+from mulleinreach.gateway.coordination.hub import MemberHub, RecentNode
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, LeaseState, Resignation
 from mulleinreach.gateway.coordination.own_report import OwnReports
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.coordination.succession import tell_replaced
+from mulleinreach.gateway.coordination.succession import notify_replaced
 from mulleinreach.gateway.coordination.term import CoordinatorTerm
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import LeaseRecord
 
 RETRY_S = 0.3
@@ -52,7 +52,7 @@
         self,
         identity: GatewayIdentity,
         lease: CoordinatorLease,
-        loads: LoadBook,
+        loads: LoadTracker,
         network: Network,
         clock: Clock,
         log: EventLog,
@@ -74,7 +74,7 @@
         self._term = CoordinatorTerm(
             lease, self._hub, self._own_reports, knowledge, coordinate, clock, log
         )
-        self._seen_state: LeaseState | None = None
+        self._known_state: LeaseState | None = None
 
     async def listen(self) -> None:
         """Accept connections of other nodes."""
@@ -86,7 +86,7 @@
 
     async def close(self) -> None:
         """Stop listening and end the connections."""
-        self._lease.give_up()
+        self._lease.relinquish()
         self._hub.stop_listening()
         self._hub.close_connections()
 
@@ -109,48 +109,48 @@
         """Return the latest report of each node, our own first."""
         return self._hub.node_reports()
 
-    def heard_nodes(self) -> list[HeardNode]:
+    def recent_nodes(self) -> list[RecentNode]:
         """Return the nodes that were heard lately, our own first."""
-        return self._hub.heard_nodes()
+        return self._hub.recent_nodes()
 
     async def run(self) -> None:
         """Take part for ever."""
         while True:
             try:
-                await self._take_part_once()
+                await self._run_once()
             except (OSError, PeerError) as error:
                 self._log.event("coordination_failed", why=repr(error))
                 await asyncio.sleep(RETRY_S)
 
-    async def _take_part_once(self) -> None:
-        state = self._seen_state or await self._look()
-        self._seen_state = None
+    async def _run_once(self) -> None:
+        state = self._known_state or await self._read_lease()
+        self._known_state = None
         if state is LeaseState.UNKNOWN:
             await asyncio.sleep(RETRY_S)
         elif state is LeaseState.FREE:
             await self._stand_for_election()
-        elif state is LeaseState.OTHERS:
+        elif state is LeaseState.HELD_BY_OTHER:
             await self._follow(Address.parse(self._lease.record.address))
 
-    async def _look(self) -> LeaseState:
+    async def _read_lease(self) -> LeaseState:
         """Read the lease's row, and what its holder left there for nodes that start."""
-        state = await self._lease.look()
+        state = await self._lease.read_state()
         if self._lease.record is not None:
-            self._knowledge.take_inheritance(self._lease.record.inheritance)
+            self._knowledge.apply_inheritance(self._lease.record.inheritance)
         return state
 
     async def _follow(self, address: Address) -> None:
         """Follow a coordinator, and do what its end asks for."""
         ended = await self._follower.follow(address)
-        if ended.reason is EndReason.PROCESS_GONE:
+        if ended.reason is FollowEndReason.PROCESS_GONE:
             await self._stand_for_election()
-        elif ended.reason is EndReason.RESIGNED:
+        elif ended.reason is FollowEndReason.RESIGNED:
             await self._stand_after_resignation(ended.resignation)
-        elif ended.reason is EndReason.REPLACED:
-            self._seen_state = LeaseState.OTHERS
+        elif ended.reason is FollowEndReason.REPLACED:
+            self._known_state = LeaseState.HELD_BY_OTHER
         else:
-            is_new = ended.reason is EndReason.LOST
-            await asyncio.sleep(RECONNECT_S if is_new else RETRY_S)
+            was_connected = ended.reason is FollowEndReason.CONNECTION_LOST
+            await asyncio.sleep(RECONNECT_S if was_connected else RETRY_S)
 
     async def _stand_for_election(self) -> None:
         if self._own_reports.is_stopping:
@@ -160,45 +160,47 @@
         await asyncio.sleep(self._election_delay_s())
         # Most nodes find here that another one was first, which spares them a write.
         # A row that its holder has renewed meanwhile must not be taken either.
-        state = await self._lease.look()
+        state = await self._lease.read_state()
         if self._lease.record != record:
-            self._seen_state = state
+            self._known_state = state
         elif state is not LeaseState.UNKNOWN and await self._lease.acquire():
             await self._coordinate_after(record)
         else:
-            await self._rest_after_election()
+            await self._back_off_after_election()
 
     async def _stand_after_resignation(self, resignation: Resignation) -> None:
         await asyncio.sleep(self._election_delay_s())
-        replaced = self._lease.record
+        replaced_record = self._lease.record
         is_stopping = self._own_reports.is_stopping
         if not is_stopping and await self._lease.acquire_after(resignation):
-            await self._coordinate_after(replaced)
+            await self._coordinate_after(replaced_record)
         else:
-            await self._rest_after_election()
+            await self._back_off_after_election()
 
-    async def _rest_after_election(self) -> None:
+    async def _back_off_after_election(self) -> None:
         """Leave time to the node that was first, or to a store that loses answers."""
         await asyncio.sleep(self._rng.uniform(1, 2) * RETRY_S)
 
-    async def _coordinate_after(self, replaced: LeaseRecord | None) -> None:
+    async def _coordinate_after(self, replaced_record: LeaseRecord | None) -> None:
         """Coordinate, and tell the holder of an earlier record, if that was another node."""
-        if replaced is None or replaced.address == str(self._identity.peers):
+        if replaced_record is None or replaced_record.address == str(self._identity.peers):
             await self._coordinate()
             return
-        own = self._lease.as_successor()
-        telling = asyncio.create_task(
-            tell_replaced(replaced, own, self._identity.name, self._network, self._log)
+        own_successor = self._lease.as_successor()
+        notification = asyncio.create_task(
+            notify_replaced(
+                replaced_record, own_successor, self._identity.name, self._network, self._log
+            )
         )
         try:
             await self._coordinate()
         finally:
-            telling.cancel()
+            notification.cancel()
 
     async def _coordinate(self) -> None:
         """Coordinate for one term; after giving way, follow the successor without a look."""
         if await self._term.serve():
-            self._seen_state = LeaseState.OTHERS
+            self._known_state = LeaseState.HELD_BY_OTHER
 
     def _election_delay_s(self) -> float:
         return election_delay_s(self._identity, self._rng)
--- a/mulleinreach/gateway/coordination/messages.py
+++ b/mulleinreach/gateway/coordination/messages.py
@@ -15,7 +15,7 @@
     OpenHead,
     Totals,
 )
-from mulleinreach.gateway.known.crashes import Sighting, held_contents
+from mulleinreach.gateway.known.crashes import RunObservation, held_contents
 from mulleinreach.gateway.known.limits import NamedLimit
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
@@ -24,11 +24,11 @@
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream, UpstreamState
 
-MAX_COUNT = 65_535
+MAX_UINT16 = 65_535
 MAX_UINT32 = 4_294_967_295
 # What reading one message may touch, in words of 8 bytes: six times the whole list of 2,840
 # hosts. A spoilt length in a list of nothing kept a node from its loop for 40 seconds without it.
-MAX_WORDS = 524_288
+MAX_TRAVERSAL_WORDS = 524_288
 
 capnp.remove_import_hook()
 _schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
@@ -36,7 +36,7 @@
 
 def _read(schema, data: bytes):
     """Return a message that is read as its fields are asked for, within bounds."""
-    return schema.from_bytes_packed(data, traversal_limit_in_words=MAX_WORDS)
+    return schema.from_bytes_packed(data, traversal_limit_in_words=MAX_TRAVERSAL_WORDS)
 
 
 def _milliseconds(seconds: float) -> int:
@@ -47,11 +47,11 @@
     rows = message.init("loads", len(loads))
     for row, load in zip(rows, loads, strict=True):
         row.upstream = load.upstream_id
-        row.running = min(load.running, MAX_COUNT)
+        row.running = min(load.running, MAX_UINT16)
         row.pendingTokens = min(load.pending_tokens, MAX_UINT32)
         row.silentMs = _milliseconds(load.silent_s)
         row.oldestMs = _milliseconds(load.oldest_s)
-        row.standingBack = min(load.standing_back, MAX_COUNT)
+        row.standingBack = min(load.standing_back, MAX_UINT16)
 
 
 def _unpack_loads(rows) -> list[LoadReport]:
@@ -68,7 +68,7 @@
     ]
 
 
-def _pack_sightings(message, sightings: list[Sighting]) -> None:
+def _pack_sightings(message, sightings: list[RunObservation]) -> None:
     rows = message.init("sightings", len(sightings))
     for row, sighting in zip(rows, sightings, strict=True):
         row.id, row.content = sighting.id, sighting.content
@@ -76,9 +76,9 @@
         row.outcome, row.agoMs = int(sighting.outcome), _milliseconds(sighting.ago_s)
 
 
-def _unpack_sightings(rows) -> list[Sighting]:
+def _unpack_sightings(rows) -> list[RunObservation]:
     return [
-        Sighting(
+        RunObservation(
             row.id,
             row.content,
             row.upstream,
@@ -107,7 +107,7 @@
 
 def _pack_permits(rows, permits: tuple[PermitCount, ...]) -> None:
     for row, permit in zip(rows, permits, strict=True):
-        row.upstream, row.count = permit.upstream_id, min(permit.count, MAX_COUNT)
+        row.upstream, row.count = permit.upstream_id, min(permit.count, MAX_UINT16)
 
 
 def _unpack_permits(rows) -> tuple[PermitCount, ...]:
@@ -151,7 +151,7 @@
 
     >>> successor = Successor(3, "10.0.0.1:80", "secret")
     >>> loads = [LoadReport("u", 2, 70, 0.5, 0.5, 1)]
-    >>> seen = [Sighting(2**64 - 1, 2**63, "u", "h", RunOutcome.ENDED_BEGUN, 0.25)]
+    >>> seen = [RunObservation(2**64 - 1, 2**63, "u", "h", RunOutcome.ENDED_BEGUN, 0.25)]
     >>> report = NodeReport(
     ...     "a", loads, seq=4, successor=successor, hall="h", sightings=seen,
     ...     limits=(NamedLimit("u", 2.1, 0.5),), wanted=(PermitCount("u", 3),),
@@ -189,10 +189,10 @@
         configAgeMs=_milliseconds(totals.configuration_age_s),
         listRevision=totals.list_revision,
         listAgeMs=_milliseconds(totals.list_age_s),
-        storeAway=totals.is_store_away,
+        storeAway=totals.is_store_unavailable,
         keepsRemoved=totals.keeps_removed,
         operatorRevision=totals.operator_revision,
-        numbers=min(totals.numbers, MAX_COUNT),
+        numbers=min(totals.numbers, MAX_UINT16),
     )
     if totals.resignation is not None:
         message.resigned = True
@@ -346,7 +346,7 @@
     row.id, row.service = upstream.id, upstream.service
     row.address, row.hall = str(upstream.address), upstream.hall
     row.draining = upstream.state is UpstreamState.DRAINING
-    row.slots = min(upstream.slots, MAX_COUNT)
+    row.slots = min(upstream.slots, MAX_UINT16)
     row.models, row.staged = list(upstream.models), list(upstream.staged)
     row.domain = upstream.domain or ""
     row.coldMs = _milliseconds(upstream.cold_s)
--- a/mulleinreach/gateway/coordination/numbering.py
+++ b/mulleinreach/gateway/coordination/numbering.py
@@ -5,12 +5,12 @@
 import itertools
 from collections.abc import Collection, Hashable
 
-from mulleinreach.gateway.known.cold import NUMBER_HOLDS_S, WINDOW_S
+from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S
 
 # Seconds between two changes of the numbers, and before the first ones of a term: those from
 # before the last change have lapsed, and requests sent by them count no more. A tenth is for
 # clocks that don't run alike.
-STEADY_S = NUMBER_HOLDS_S + WINDOW_S + 0.1
+RENUMBERING_INTERVAL_S = NUMBER_VALID_S + RATE_WINDOW_S + 0.1
 
 
 class NodeNumbers:
@@ -42,13 +42,13 @@
     def update(self, members: Collection[Hashable], now: float) -> None:
         """Number the members anew if they have changed and the last change is long ago."""
         is_same = self.count > 0 and self._numbers.keys() == set(members)
-        if is_same or now - self._changed_at < STEADY_S:
+        if is_same or now - self._changed_at < RENUMBERING_INTERVAL_S:
             return
         kept = {member: n for member, n in self._numbers.items() if member in members}
-        taken = set(kept.values())
-        free = (number for number in itertools.count(1) if number not in taken)
-        newcomers = (member for member in members if member not in kept)
-        self._numbers = kept | dict(zip(newcomers, free, strict=False))
+        used = set(kept.values())
+        free_numbers = (number for number in itertools.count(1) if number not in used)
+        new_members = (member for member in members if member not in kept)
+        self._numbers = kept | dict(zip(new_members, free_numbers, strict=False))
         self.count = 1 + max(self._numbers.values(), default=0)
         self._changed_at = now
 
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -12,12 +12,12 @@
     NodeReport,
 )
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 
 # For so long a new coordinator is told all that this node saw of upstreams that ended.
-INTRODUCTION_S = 1.0
+FULL_REPORT_PERIOD_S = 1.0
 # A coordinator's answer may be late, but it names a report of the latest seconds.
-REPORTS_KEPT = 40
+MAX_KEPT_REPORTS = 40
 
 
 @dataclass(frozen=True)
@@ -27,12 +27,12 @@
     Parameters
     ==========
 
-    at : when it was sent.
+    sent_at : when it was sent.
     loads : what it told of the load of upstreams.
     """
 
     seq: int
-    at: float
+    sent_at: float
     loads: list[LoadReport]
 
 
@@ -49,7 +49,7 @@
         self,
         identity: GatewayIdentity,
         lease: CoordinatorLease,
-        loads: LoadBook,
+        loads: LoadTracker,
         knowledge: Knowledge,
         clock: Clock,
     ):
@@ -59,15 +59,15 @@
         self._knowledge = knowledge
         self._clock = clock
         self._seq = 0
-        self._holder = lease.token
-        self._holder_since = float("-inf")
-        self._sent: deque[SentReport] = deque(maxlen=REPORTS_KEPT)
+        self._coordinator_token = lease.token
+        self._coordinator_since = float("-inf")
+        self._sent: deque[SentReport] = deque(maxlen=MAX_KEPT_REPORTS)
         # Whether this node is about to end; its reports tell it from then on.
         self.is_stopping = False
 
     def current(self) -> NodeReport:
         """Return how things stand now, under the number of the latest report."""
-        is_introducing = self._is_introducing()
+        is_coordinator_new = self._is_coordinator_new()
         return NodeReport(
             self._identity.name,
             self._loads.own_reports(),
@@ -77,17 +77,17 @@
             self._knowledge.list_revision(),
             self._knowledge.configuration_version(),
             hall=self._identity.hall,
-            sightings=self._knowledge.sightings(includes_old=is_introducing),
-            limits=self._knowledge.untold_limits(includes_told=is_introducing),
+            sightings=self._knowledge.sightings(includes_old=is_coordinator_new),
+            limits=self._knowledge.unreported_limits(includes_told=is_coordinator_new),
             wanted=self._knowledge.wanted_permits(),
         )
 
-    def _is_introducing(self) -> bool:
+    def _is_coordinator_new(self) -> bool:
         """Whether the coordinator is a new one, which has not heard what this node told before."""
         now = self._clock.now()
-        if self._holder != self._lease.token:
-            self._holder, self._holder_since = self._lease.token, now
-        return now - self._holder_since < INTRODUCTION_S
+        if self._coordinator_token != self._lease.token:
+            self._coordinator_token, self._coordinator_since = self._lease.token, now
+        return now - self._coordinator_since < FULL_REPORT_PERIOD_S
 
     def next(self) -> NodeReport:
         """Return the next report, which is about to be sent."""
@@ -96,6 +96,6 @@
         self._sent.append(SentReport(self._seq, self._clock.now(), report.loads))
         return report
 
-    def sent(self, seq: int) -> SentReport | None:
-        """Return a report that was sent, ``None`` if it is none of the latest ones."""
+    def find_sent(self, seq: int) -> SentReport | None:
+        """Return a report that was find_sent, ``None`` if it is none of the latest ones."""
         return next((report for report in self._sent if report.seq == seq), None)
--- a/mulleinreach/gateway/coordination/passed_on.py
+++ b/mulleinreach/gateway/coordination/passed_on.py
@@ -5,12 +5,12 @@
 from typing import Protocol
 
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, Totals
-from mulleinreach.gateway.known.crashes import Sighting
+from mulleinreach.gateway.known.crashes import RunObservation
 from mulleinreach.gateway.known.limits import NamedLimit
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
 from mulleinreach.gateway.known.upstreams import ListChange
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
 
 
@@ -47,25 +47,25 @@
     async def read_changed_rows(self, rows: OperatorRows | None) -> None:
         """Read the operators' rows, which have other versions, unless a wait has told it."""
 
-    async def read_unproven_rows(self) -> None:
+    async def read_unconfirmed_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
 
-    def inheritance(self) -> Inheritance:
+    def inheritance(self) -> HandoverState:
         """Return what nodes that start should know."""
 
-    def take_inheritance(self, inheritance: Inheritance) -> None:
+    def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew."""
 
-    def sightings(self, includes_old: bool) -> list[Sighting]:
+    def sightings(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
 
-    def take_sightings(self, sightings: list[Sighting]) -> None:
+    def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
 
-    def untold_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
+    def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
 
-    def take_limits(self, named: tuple[NamedLimit, ...]) -> None:
+    def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Take what another node knows of the limits of upstreams."""
 
     def limits(self) -> dict[str, float]:
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -7,22 +7,22 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from mulleinreach.gateway.known.limits import bearable_per_s, permit_s
+from mulleinreach.gateway.known.limits import permit_lifetime_s, send_rate_per_s
 from mulleinreach.gateway.known.permits import PermitCount
 
 # Permits that may gather while nobody wants them. With fewer, those are lost that become due
 # between two rounds of reports.
-BURST = 2.0
+BURST_PERMITS = 2.0
 # Seconds of an upstream's rate that may gather, where that is more: a round of reports.
 BURST_S = 0.25
 # For clocks that don't run alike.
-MARGIN_S = 0.1
+CLOCK_SKEW_MARGIN_S = 0.1
 
 Node = TypeVar("Node", bound=Hashable)
 
 
 @dataclass
-class _Account:
+class _TokenBucket:
     """What may be given out for one upstream.
 
     Parameters
@@ -32,7 +32,7 @@
     """
 
     balance: float
-    at: float
+    updated_at: float
     credits: dict[Hashable, float] = field(default_factory=dict)
 
 
@@ -43,7 +43,7 @@
     ===========
 
     Permits are drawn from a token bucket. Within any time of T seconds no more are spent than
-    ``limit * (T + permit_s(limit)) + max(BURST, BURST_S * limit)``, whatever becomes of messages.
+    ``limit * (T + permit_lifetime_s(limit)) + max(BURST_PERMITS, BURST_S * limit)``, whatever becomes of messages.
 
     Parameters
     ==========
@@ -64,7 +64,7 @@
 
     def __init__(self, begun_at: float):
         self._begun_at = begun_at
-        self._accounts: dict[str, _Account] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def allocate(
         self,
@@ -80,41 +80,41 @@
         wanted : what each node asks for, beside the permits that it holds.
         limits : of upstreams, in requests a second.
         """
-        self._accounts = {u: a for u, a in self._accounts.items() if u in limits}
+        self._buckets = {u: a for u, a in self._buckets.items() if u in limits}
         wants_by_upstream: dict[str, dict[Node, int]] = defaultdict(dict)
         for node, wants in wanted.items():
             for want in wants:
                 wants_by_upstream[want.upstream_id][node] = want.count
-        given: dict[Node, list[PermitCount]] = defaultdict(list)
+        granted: dict[Node, list[PermitCount]] = defaultdict(list)
         for upstream_id, limit in limits.items():
-            if now - self._begun_at < permit_s(limit) + MARGIN_S:
+            if now - self._begun_at < permit_lifetime_s(limit) + CLOCK_SKEW_MARGIN_S:
                 continue
-            per_s = bearable_per_s(limit)
+            per_s = send_rate_per_s(limit)
             counts = self._allocate_one(upstream_id, per_s, wants_by_upstream[upstream_id], now)
             for node, count in counts.items():
-                given[node].append(PermitCount(upstream_id, count))
-        return dict(given)
+                granted[node].append(PermitCount(upstream_id, count))
+        return dict(granted)
 
     def _allocate_one(
         self, upstream_id: str, per_s: float, wants: dict[Node, int], now: float
     ) -> dict[Node, int]:
         """Return how many permits for one upstream each node gets."""
-        account = self._accounts.setdefault(upstream_id, _Account(1.0, now))
-        gathered = account.balance + (now - account.at) * per_s
-        account.balance, account.at = min(gathered, max(BURST, BURST_S * per_s)), now
-        account.credits = {n: c for n, c in account.credits.items() if n in wants}
+        bucket = self._buckets.setdefault(upstream_id, _TokenBucket(1.0, now))
+        accrued = bucket.balance + (now - bucket.updated_at) * per_s
+        bucket.balance, bucket.updated_at = min(accrued, max(BURST_PERMITS, BURST_S * per_s)), now
+        bucket.credits = {n: c for n, c in bucket.credits.items() if n in wants}
         counts: dict[Node, int] = defaultdict(int)
-        while account.balance >= 1 and wants:
-            node = _draw(account.credits, wants)
+        while bucket.balance >= 1 and wants:
+            node = _pick_node(bucket.credits, wants)
             counts[node] += 1
             wants[node] -= 1
             if not wants[node]:
                 del wants[node]
-            account.balance -= 1
+            bucket.balance -= 1
         return dict(counts)
 
 
-def _draw(credit: dict[Hashable, float], wants: Mapping[Node, int]) -> Node:
+def _pick_node(credit: dict[Hashable, float], wants: Mapping[Node, int]) -> Node:
     """Return whose turn it is: each gets its part, by what it wants."""
     for node, count in wants.items():
         credit[node] = credit.get(node, 0.0) + count
--- a/mulleinreach/gateway/coordination/reports.py
+++ b/mulleinreach/gateway/coordination/reports.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from mulleinreach.gateway.coordination.lease import Resignation, Successor
-from mulleinreach.gateway.known.crashes import Sighting
+from mulleinreach.gateway.known.crashes import RunObservation
 from mulleinreach.gateway.known.limits import NamedLimit
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.permits import PermitCount
@@ -38,7 +38,7 @@
     configuration_version: int = 0
     successor: Successor | None = None
     hall: str = ""
-    sightings: list[Sighting] = field(default_factory=list)
+    sightings: list[RunObservation] = field(default_factory=list)
     limits: tuple[NamedLimit, ...] = ()
     wanted: tuple[PermitCount, ...] = ()
 
@@ -69,7 +69,7 @@
     configuration_age_s, list_age_s : the age of the coordinator's evidence.
     resignation : its word that it gives no more orders, if it can't renew its lease.
     retiring : ids of heads that finish their work and take nothing new.
-    is_store_away : whether no node that reports to the coordinator can read the store.
+    is_store_unavailable : whether no node that reports to the coordinator can read the store.
     successor : the node that has replaced it, if one has.
     keeps_removed : whether the store was away, so that upstreams that it misses may be back soon.
     evacuated : the halls that are to be empty.
@@ -92,7 +92,7 @@
     list_age_s: float = 0.0
     resignation: Resignation | None = None
     retiring: list[str] = field(default_factory=list)
-    is_store_away: bool = False
+    is_store_unavailable: bool = False
     successor: Successor | None = None
     keeps_removed: bool = False
     evacuated: list[str] = field(default_factory=list)
--- a/mulleinreach/gateway/coordination/succession.py
+++ b/mulleinreach/gateway/coordination/succession.py
@@ -16,11 +16,11 @@
 from mulleinreach.gateway.ports import LeaseRecord
 
 # Nodes are some milliseconds apart; one that doesn't answer by then is cut off or frozen.
-CONNECT_S = 0.5
+CONNECT_TIMEOUT_S = 0.5
 
 
-async def tell_replaced(
-    replaced: LeaseRecord, successor: Successor, node: str, network: Network, log: EventLog
+async def notify_replaced(
+    replaced_record: LeaseRecord, successor: Successor, node: str, network: Network, log: EventLog
 ) -> None:
     """Tell the holder of an earlier record who is in its place now.
 
@@ -32,11 +32,11 @@
     node : the name of the node that tells it.
     """
     try:
-        async with asyncio.timeout(CONNECT_S):
-            _, writer = await network.connect(Address.parse(replaced.address))
-        report = NodeReport(node, [], secret=replaced.secret, successor=successor)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            _, writer = await network.connect(Address.parse(replaced_record.address))
+        report = NodeReport(node, [], secret=replaced_record.secret, successor=successor)
         FrameWriter(writer).write(encode_node_report(report))
         await writer.drain()
         writer.close()
     except (OSError, TimeoutError) as error:
-        log.event("replaced_not_told", address=replaced.address, why=repr(error))
+        log.event("replaced_not_told", address=replaced_record.address, why=repr(error))
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -16,9 +16,9 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.hub import MemberHub
 from mulleinreach.gateway.coordination.lease import (
-    RENEW_S,
+    RENEW_INTERVAL_S,
     CoordinatorLease,
-    Renewal,
+    RenewalOutcome,
     Resignation,
     Successor,
 )
@@ -26,19 +26,19 @@
 from mulleinreach.gateway.coordination.passed_on import Knowledge
 
 # Seconds until the next renewal after one whose outcome isn't known.
-RENEW_AGAIN_S = 0.15
+UNKNOWN_OUTCOME_RETRY_S = 0.15
 # Seconds until the next renewal after one that was done.
 RENEW_PAUSES_S = {
-    Renewal.DONE: RENEW_S,
-    Renewal.DONE_CHANGED: RENEW_S,
+    RenewalOutcome.RENEWED: RENEW_INTERVAL_S,
+    RenewalOutcome.RENEWED_ROWS_CHANGED: RENEW_INTERVAL_S,
     # The next answer may be lost too, and the lease counts from the earlier write.
-    Renewal.DONE_BEFORE: 0.3,
+    RenewalOutcome.RENEWED_BY_EARLIER_WRITE: 0.3,
 }
 # Without the lease there is no hurry but to find out that the store is back.
-TAKE_UP_AGAIN_S = 0.5
+REACQUIRE_INTERVAL_S = 0.5
 # For so long a replaced coordinator tells its nodes who has replaced it: two reports at
 # least reach a node that is connected.
-SUCCESSOR_TOLD_S = 0.5
+SUCCESSOR_NOTICE_S = 0.5
 
 
 class CoordinatorTerm:
@@ -69,29 +69,29 @@
         self._coordinate = coordinate
         self._clock = clock
         self._log = log
-        self._gave_way = False
+        self._stepped_down = False
 
     async def serve(self) -> bool:
         """Coordinate until somebody else holds the lease, or this node stops.
 
         Returns whether it gave way to a successor, which this node can follow at once.
         """
-        self._gave_way = False
+        self._stepped_down = False
         self._hub.resignation = None
         self._hub.successor = None
         self._hub.is_open = True
         reporting = asyncio.create_task(self._hub.report_to_members())
         try:
             while await self._coordinate_while_held(reporting):
-                if not await self._take_up_again(reporting):
+                if not await self._reacquire(reporting):
                     break
         finally:
             await self._end(reporting)
-        return self._gave_way
+        return self._stepped_down
 
     async def _end(self, reporting: asyncio.Task) -> None:
         self._hub.is_open = False
-        self._lease.give_up()
+        self._lease.relinquish()
         self._log.event("lease_ended", token=self._lease.token)
         reporting.cancel()
         await asyncio.gather(reporting, return_exceptions=True)
@@ -108,7 +108,7 @@
         """
         duty = asyncio.create_task(self._coordinate())
         fenced = asyncio.create_task(self._lease.fenced.wait())
-        pause_s, renewal = RENEW_S, Renewal.DONE
+        pause_s, renewal = RENEW_INTERVAL_S, RenewalOutcome.RENEWED
         try:
             while not self._own_reports.is_stopping:
                 waits = {duty, reporting, fenced}
@@ -121,59 +121,59 @@
                     self._log.event("duty_failed", why=repr(done.pop().exception()))
                     return False
                 renewal = await self._renew()
-                if renewal is Renewal.LOST:
+                if renewal is RenewalOutcome.LOST:
                     return False
                 if not self._lease.is_held():
                     return True
-                pause_s = RENEW_PAUSES_S.get(renewal, RENEW_AGAIN_S)
+                pause_s = RENEW_PAUSES_S.get(renewal, UNKNOWN_OUTCOME_RETRY_S)
             # A node that stops hands the lease over, unless nobody can take it.
-            return renewal is Renewal.UNKNOWN
+            return renewal is RenewalOutcome.UNKNOWN
         finally:
             duty.cancel()
             fenced.cancel()
             await asyncio.gather(duty, fenced, return_exceptions=True)
 
-    async def _renew(self) -> Renewal:
+    async def _renew(self) -> RenewalOutcome:
         """Renew the lease, and have the same write prove what is known of the store."""
         rows = self._knowledge.operator_rows()
         asked_at = self._clock.now()
         renewal = await self._lease.renew(rows, self._knowledge.inheritance())
-        if renewal is Renewal.DONE:
+        if renewal is RenewalOutcome.RENEWED:
             self._knowledge.confirm(rows, asked_at)
-        elif renewal is Renewal.DONE_CHANGED:
+        elif renewal is RenewalOutcome.RENEWED_ROWS_CHANGED:
             await self._knowledge.read_changed_rows(rows)
-        elif renewal is Renewal.DONE_BEFORE:
-            await self._knowledge.read_unproven_rows()
-        elif renewal is Renewal.UNKNOWN:
+        elif renewal is RenewalOutcome.RENEWED_BY_EARLIER_WRITE:
+            await self._knowledge.read_unconfirmed_rows()
+        elif renewal is RenewalOutcome.UNKNOWN:
             self._knowledge.note_store_failed()
         return renewal
 
-    async def _take_up_again(self, reporting: asyncio.Task) -> bool:
+    async def _reacquire(self, reporting: asyncio.Task) -> bool:
         """Resign, and wait until the lease is held again; returns whether it is.
 
         A node that stops stays the place where the others meet: while nobody can write
         the row, no other one can take its place.
         """
-        self._lease.give_up()
+        self._lease.relinquish()
         self._log.event("lease_lapsed", token=self._lease.token)
         while not reporting.done():
             if self._hub.successor is not None:
-                await self._give_way(self._hub.successor)
+                await self._step_down(self._hub.successor)
                 return False
             self._hub.resignation = Resignation(self._lease.token, self._lease.record.renewal)
             renewal = await self._renew()
-            if renewal is Renewal.LOST:
+            if renewal is RenewalOutcome.LOST:
                 return False
-            if renewal is not Renewal.UNKNOWN and self._lease.is_held():
+            if renewal is not RenewalOutcome.UNKNOWN and self._lease.is_held():
                 self._hub.resignation = None
                 self._log.event("lease_taken_up_again", token=self._lease.token)
                 return True
-            await asyncio.sleep(TAKE_UP_AGAIN_S)
+            await asyncio.sleep(REACQUIRE_INTERVAL_S)
         return False
 
-    async def _give_way(self, successor: Successor) -> None:
+    async def _step_down(self, successor: Successor) -> None:
         """Tell the nodes that meet here whom to follow, then follow it too."""
         self._log.event("coordinator_replaced", token=successor.token, by=successor.address)
-        await asyncio.sleep(SUCCESSOR_TOLD_S)
+        await asyncio.sleep(SUCCESSOR_NOTICE_S)
         self._lease.adopt(successor)
-        self._gave_way = True
+        self._stepped_down = True
--- a/mulleinreach/gateway/coordination/tests/test_fences.py
+++ b/mulleinreach/gateway/coordination/tests/test_fences.py
@@ -6,29 +6,29 @@
 
 import pytest
 
-from mulleinreach.gateway.coordination.lease import Renewal
+from mulleinreach.gateway.coordination.lease import RenewalOutcome
 from mulleinreach.gateway.fleet.formation import LeaseLost
 from mulleinreach.gateway.known.upstreams import collect_groups
 from mulleinreach.gateway.ports import Accepted, Fenced
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import LEASE
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
 
-async def replace_coordinator(world):
+async def partition_coordinator(world):
     """Let one node sleep past its lease, and think that it still holds it.
 
     Returns that node and the one that has taken its place.
     """
     name = world.coordinator()
-    sleeper = world.nodes[name]
-    turn_away(sleeper)
+    stale_coordinator = world.nodes[name]
+    block_store_access(stale_coordinator)
     for other in world.nodes:
         world.links.cut_both(name, other)
     await world.until(lambda: world.coordinator() not in (name, None))
     successor = world.nodes[world.coordinator()]
-    sleeper.lease._held_until = float("inf")
-    return sleeper, successor
+    stale_coordinator.lease._held_until = float("inf")
+    return stale_coordinator, successor
 
 
 def open_group(node):
@@ -37,37 +37,37 @@
     return collect_groups(node.directory.of_service(MODEL_SERVICE))[head.group, head.epoch]
 
 
-def test_coordinator_that_slept_past_its_lease_gives_no_order_that_takes_hold():
+def test_orders_of_paused_coordinator_with_expired_lease_have_no_effect():
     async def test(world):
         world.fabric.requires_fence = True
         await world.until_formed()
         await asyncio.sleep(3)
-        sleeper, successor = await replace_coordinator(world)
+        stale_coordinator, successor = await partition_coordinator(world)
         group = open_group(successor)
         for member in group.members.values():
             host = world.fabric.hosts[member.id]
             order = await world.fabric.leave(host.upstream, "nothing", 1, successor.lease.token)
             assert order == Accepted()
-        orders = world.fabric.orders_by_token[sleeper.lease.token]
-        told = len(orders)
+        orders = world.fabric.orders_by_token[stale_coordinator.lease.token]
+        orders_before = len(orders)
         with pytest.raises(LeaseLost):
-            await sleeper.operator.dissolve(group)
+            await stale_coordinator.operator.dissolve(group)
         assert world.fabric.hosts[group.head.id].standing is not None
-        assert not sleeper.lease.is_held()
+        assert not stale_coordinator.lease.is_held()
         await asyncio.sleep(3)
-        assert not sleeper.lease.is_held()
+        assert not stale_coordinator.lease.is_held()
         # The refused order, and no other one under that token.
-        assert len(orders) == told + 1
+        assert len(orders) == orders_before + 1
 
     run_world(test, nodes=3, domains=1)
 
 
-def test_refused_coordinator_does_not_renew_its_lease_any_more():
+def test_fenced_coordinator_does_not_renew_its_lease():
     async def test(world):
         await world.until_formed()
         holder = world.nodes[world.coordinator()]
-        holder.lease.note_fenced()
-        assert await holder.lease.renew() is Renewal.LOST
+        holder.lease.mark_fenced()
+        assert await holder.lease.renew() is RenewalOutcome.LOST
         assert not holder.lease.is_held()
         # The row lapses, and a new term begins under a higher token.
         token = holder.lease.token
@@ -77,7 +77,7 @@
     run_world(test, nodes=2, domains=1)
 
 
-def test_engines_that_require_it_see_the_token_of_each_order():
+def test_engine_that_requires_tokens_refuses_stale_token():
     async def test(world):
         world.fabric.requires_fence = True
         await world.until_formed()
@@ -89,7 +89,7 @@
     run_world(test, domains=1)
 
 
-def test_token_rises_though_the_row_of_the_lease_is_spoilt():
+def test_token_increases_after_row_of_lease_is_corrupted():
     async def test(world):
         await world.until_formed()
         token = world.nodes[world.coordinator()].lease.token
--- a/mulleinreach/gateway/coordination/tests/test_frames.py
+++ b/mulleinreach/gateway/coordination/tests/test_frames.py
@@ -28,7 +28,7 @@
         self.reader.feed_data(data)
 
 
-def test_messages_come_through_in_order_and_repeated_ones_are_small():
+def test_messages_arrive_in_order_and_repeated_ones_are_compressed():
     async def test():
         pipe = _Pipe()
         frames, reader = FrameWriter(pipe), FrameReader(pipe.reader)
@@ -49,7 +49,7 @@
         struct.pack(">I", 9) + b"cut",
     ],
 )
-def test_bytes_that_are_no_message_end_the_connection(data):
+def test_malformed_frame_raises_peer_error(data):
     async def test():
         reader = asyncio.StreamReader()
         reader.feed_data(data)
@@ -60,7 +60,7 @@
     asyncio.run(test())
 
 
-def test_message_that_grows_beyond_the_bound_ends_the_connection():
+def test_message_that_exceeds_the_size_limit_decompressed_raises_peer_error():
     async def test():
         stream = zlib.compressobj(1, zlib.DEFLATED, -12)
         data = stream.compress(bytes(MAX_MESSAGE_BYTES + 1)) + stream.flush(zlib.Z_SYNC_FLUSH)
--- a/mulleinreach/gateway/coordination/tests/test_restored_lease.py
+++ b/mulleinreach/gateway/coordination/tests/test_restored_lease.py
@@ -8,20 +8,20 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.lease import (
-    LEASE_S,
-    RENEW_S,
+    LEASE_DURATION_S,
+    RENEW_INTERVAL_S,
     CoordinatorLease,
     LeaseState,
-    Renewal,
+    RenewalOutcome,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.restoring import restore, write_hosts_again, write_others
 from mulleinreach.standins.gateway.store import MemoryLease, MemoryStore
 from mulleinreach.standins.virtual import run_virtual
 
-LAPSED_S = 1.1 * LEASE_S
+EXPIRY_WAIT_S = 1.1 * LEASE_DURATION_S
 # The next renewal, and one more after a look at the row.
-HELD_AGAIN_S = 1.0
+REELECTION_S = 1.0
 
 
 def make_lease(store: MemoryStore, holder: str) -> CoordinatorLease:
@@ -35,14 +35,14 @@
 async def _take_over(store: MemoryStore, holder: str) -> CoordinatorLease:
     """Return a lease that a node has taken once it saw the row unchanged for long enough."""
     lease = make_lease(store, holder)
-    await lease.look()
-    await asyncio.sleep(LAPSED_S)
-    assert await lease.look() is LeaseState.FREE
+    await lease.read_state()
+    await asyncio.sleep(EXPIRY_WAIT_S)
+    assert await lease.read_state() is LeaseState.FREE
     assert await lease.acquire()
     return lease
 
 
-async def _lose_takeover(store: MemoryStore) -> CoordinatorLease:
+async def _lose_takeover_in_restore(store: MemoryStore) -> CoordinatorLease:
     """Return a lease that was taken over, and whose row a restore has lost right after."""
     copy = store.copy()
     later = await _take_over(store, "b.1")
@@ -50,44 +50,44 @@
     return later
 
 
-async def _never_both(first: CoordinatorLease, second: CoordinatorLease, act) -> None:
+async def _assert_never_both_hold(first: CoordinatorLease, second: CoordinatorLease, act) -> None:
     """Let a node act again and again, as long as the other one may believe that it holds."""
-    for _ in range(int(LAPSED_S / 0.05)):
+    for _ in range(int(EXPIRY_WAIT_S / 0.05)):
         await act()
         assert not (first.is_held() and second.is_held())
         await asyncio.sleep(0.05)
 
 
-def test_holder_that_the_copy_names_again_gives_no_order_beside_one_that_it_lacks():
+def test_holder_named_by_restored_row_never_holds_with_lost_later_holder():
     async def test():
         store = MemoryStore()
         earlier = make_lease(store, "a.1")
         assert await earlier.acquire()
-        later = await _lose_takeover(store)
+        later = await _lose_takeover_in_restore(store)
         assert later.is_held()
-        await _never_both(earlier, later, earlier.renew)
+        await _assert_never_both_hold(earlier, later, earlier.renew)
         assert earlier.is_held()
 
     run_virtual(test())
 
 
-def test_node_whose_earlier_life_the_copy_names_gives_no_order_beside_one_that_it_lacks():
+def test_restarted_holder_of_restored_row_never_holds_with_lost_later_holder():
     async def test():
         store = MemoryStore()
         assert await make_lease(store, "a.1").acquire()
-        later = await _lose_takeover(store)
+        later = await _lose_takeover_in_restore(store)
         again = make_lease(store, "a.2")
 
         async def take():
-            if await again.look() is LeaseState.FREE:
+            if await again.read_state() is LeaseState.FREE:
                 await again.acquire()
 
-        await _never_both(again, later, take)
+        await _assert_never_both_hold(again, later, take)
 
     run_virtual(test())
 
 
-def test_write_that_a_reissued_version_lets_through_gives_no_lease():
+def test_write_that_succeeds_on_reissued_version_gives_no_second_holder():
     async def test():
         store = MemoryStore()
         earlier = make_lease(store, "a.1")
@@ -95,23 +95,23 @@
         assert await earlier.acquire()
         store.restore(copy)
         later = make_lease(store, "b.1")
-        assert await later.look() is LeaseState.FREE
+        assert await later.read_state() is LeaseState.FREE
         assert await later.acquire()
         assert store.version == 1
-        await _never_both(earlier, later, earlier.renew)
+        await _assert_never_both_hold(earlier, later, earlier.renew)
 
     run_virtual(test())
 
 
-def test_holder_that_the_store_did_not_miss_holds_on():
+def test_holder_in_restored_row_keeps_its_lease():
     async def test():
         store = MemoryStore()
         lease = make_lease(store, "a.1")
         assert await lease.acquire()
         copy = store.copy()
         for _ in range(4):
-            await asyncio.sleep(RENEW_S)
-            assert await lease.renew() is Renewal.DONE
+            await asyncio.sleep(RENEW_INTERVAL_S)
+            assert await lease.renew() is RenewalOutcome.RENEWED
         store.restore(copy)
         write_others(store, 9)
         for _ in range(20):
@@ -123,36 +123,36 @@
     run_virtual(test())
 
 
-def test_tokens_rise_beyond_those_that_a_copy_lacks():
+def test_tokens_exceed_those_lost_in_a_restore():
     async def test():
         store = MemoryStore()
         assert await make_lease(store, "a.1").acquire()
-        later = await _lose_takeover(store)
+        later = await _lose_takeover_in_restore(store)
         other = await _take_over(store, "c.1")
         assert other.token > later.token
 
     run_virtual(test())
 
 
-def test_renewal_that_was_lost_with_the_copy_is_not_taken_for_one_that_was_done_late():
+def test_renewal_lost_in_a_restore_is_not_mistaken_for_a_late_write():
     async def test():
         store = MemoryStore()
         lease = make_lease(store, "a.1")
         assert await lease.acquire()
         copy = store.copy()
         store.loses = True
-        assert await lease.renew() is Renewal.UNKNOWN
+        assert await lease.renew() is RenewalOutcome.UNKNOWN
         store.loses = False
         store.restore(copy)
-        assert await lease.renew() is Renewal.UNKNOWN
-        assert await lease.renew() is Renewal.DONE
+        assert await lease.renew() is RenewalOutcome.UNKNOWN
+        assert await lease.renew() is RenewalOutcome.RENEWED
 
     run_virtual(test())
 
 
 @pytest.mark.parametrize("away_s", [0.4, 1.0, 2.4, 5.0])
 @pytest.mark.parametrize("is_killed", [False, True])
-def test_one_node_at_most_coordinates_and_soon_one_does(away_s, is_killed):
+def test_at_most_one_coordinator_and_prompt_election_after_restore(away_s, is_killed):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -161,14 +161,14 @@
             await world.kill_node(world.coordinator())
             await world.until(lambda: world.coordinator() is not None, 5)
         await asyncio.sleep(1)
-        holding = asyncio.create_task(watch_holders(world))
+        watch = asyncio.create_task(watch_holders(world))
         await restore(world.store, copy, away_s)
         write_hosts_again(world.fabric)
         back_s = await world.until(lambda: world.coordinator() is not None, 8)
-        assert back_s <= 2 * LEASE_S + HELD_AGAIN_S
+        assert back_s <= 2 * LEASE_DURATION_S + REELECTION_S
         await asyncio.sleep(4)
-        assert not holding.done(), holding.exception()
-        holding.cancel()
+        assert not watch.done(), watch.exception()
+        watch.cancel()
         assert world.coordinator() is not None
 
     run_world(test, nodes=4)
--- a/mulleinreach/gateway/coordination/tests/test_sharing.py
+++ b/mulleinreach/gateway/coordination/tests/test_sharing.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from mulleinreach.gateway.fleet.tests.test_fleet import keep_asking, member_of
+from mulleinreach.gateway.fleet.tests.test_fleet import member_of, request_streams_forever
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
@@ -13,7 +13,7 @@
     async def test(world):
         await world.until_formed()
         await world.stream(3)
-        text = (await world.nodes["node-0"]._answer_metrics(None)).body.decode()
+        text = (await world.nodes["node-0"]._handle_metrics(None)).body.decode()
         for name in (
             'answers_total{kind="streaming",status="200"} 1.0',
             "store_calls_total{call=",
@@ -30,30 +30,30 @@
     run_world(test, nodes=1)
 
 
-def test_nodes_share_what_is_in_flight():
+def test_nodes_share_their_requests_in_flight():
     async def test(world):
         await world.until_formed()
-        asking = [asyncio.create_task(world.stream(60, node="node-0")) for _ in range(6)]
+        requests = [asyncio.create_task(world.stream(60, node="node-0")) for _ in range(6)]
         await asyncio.sleep(0.6)
         other = world.nodes["node-1"]
         heads = other.chooser.heads(MODEL_SERVICE, LARGE)
         assert sum(other.loads.running(h.upstream.id) for h in heads) == 6
-        await asyncio.gather(*asking)
+        await asyncio.gather(*requests)
 
     run_world(test)
 
 
-def test_time_of_a_repair_is_measured_at_the_coordinator():
+def test_coordinator_measures_repair_time():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        requests = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         dying = asyncio.create_task(member_of(world, LARGE, rank=1).die())
         await asyncio.sleep(4)
-        asking.cancel()
+        requests.cancel()
         await dying
-        text = (await world.nodes["node-0"]._answer_metrics(None)).body.decode()
+        text = (await world.nodes["node-0"]._handle_metrics(None)).body.decode()
         assert "mulleinreach_gateway_repair_seconds_count 1.0" in text
         assert 'mulleinreach_gateway_repair_seconds_bucket{le="1.0"} 1.0' in text
 
--- a/mulleinreach/gateway/coordination/tests/test_silent_connections.py
+++ b/mulleinreach/gateway/coordination/tests/test_silent_connections.py
@@ -4,16 +4,16 @@
 
 import asyncio
 
-from mulleinreach.gateway.coordination.hub import SILENCE_S
+from mulleinreach.gateway.coordination.hub import REPORT_TIMEOUT_S
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import LARGE, SMALL, make_configuration
 
 # A silent connection is given up, a new one is made, and its first report is answered.
-JOINED_AGAIN_S = SILENCE_S + 0.5
+REJOIN_S = REPORT_TIMEOUT_S + 0.5
 
 
-def test_nodes_hear_of_totals_again():
+def test_nodes_receive_totals_again():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -21,15 +21,15 @@
         others = [node for name, node in world.nodes.items() if name != coordinator]
         world.links.silence(world.nodes)
         await world.until(lambda: not any(node.coordination.is_following for node in others))
-        await asyncio.sleep(JOINED_AGAIN_S)
+        await asyncio.sleep(REJOIN_S)
         assert all(node.coordination.is_following for node in others)
-        assert all(node.loads.is_told_lately() for node in others)
+        assert all(node.loads.has_recent_totals() for node in others)
         assert world.coordinator() == coordinator
 
     run_world(test, nodes=3)
 
 
-def test_configurations_come_in_time():
+def test_configuration_arrives_in_time():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -41,30 +41,30 @@
     run_world(test, nodes=3)
 
 
-def test_coordinator_forgets_nodes_whose_connections_are_silent():
+def test_coordinator_drops_silent_connections():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
         world.links.silence(world.nodes)
-        await asyncio.sleep(2 * JOINED_AGAIN_S)
+        await asyncio.sleep(2 * REJOIN_S)
         coordinator = world.nodes[world.coordinator()]
         assert len(coordinator.coordination.node_reports()) == 3
 
     run_world(test, nodes=3)
 
 
-def test_streams_without_a_first_event_go_elsewhere():
+def test_streams_without_a_first_event_are_retried_elsewhere():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
         for host in world.fabric.hosts.values():
             host.pace = 10.0
-        asking = [asyncio.create_task(world.stream(2)) for _ in range(4)]
+        requests = [asyncio.create_task(world.stream(2)) for _ in range(4)]
         await asyncio.sleep(0.1)
         world.links.silence(world.nodes)
         for host in world.fabric.hosts.values():
             host.pace = 1.0
-        answers = await asyncio.gather(*asking)
+        answers = await asyncio.gather(*requests)
         assert all(answer.event_ids == ["1", "2"] for answer in answers)
 
     run_world(test, nodes=1)
@@ -74,11 +74,11 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
-        asking = [asyncio.create_task(world.stream(60)) for _ in range(6)]
+        requests = [asyncio.create_task(world.stream(60)) for _ in range(6)]
         await asyncio.sleep(0.5)
         world.links.silence(world.nodes)
         silent_at = world.clock.now()
-        answers = await asyncio.gather(*asking)
+        answers = await asyncio.gather(*requests)
         assert all(len(answer.event_ids) == 60 for answer in answers)
         # What was left of the stream, and the time until the silence was noticed.
         assert world.clock.now() - silent_at < 2.0 + 2.0
@@ -86,21 +86,21 @@
     run_world(test, nodes=2)
 
 
-def test_stream_that_falls_silent_everywhere_keeps_to_its_route_s_attempts():
+def test_stream_that_times_out_everywhere_stops_after_its_route_s_attempts():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
-        asking = asyncio.create_task(world.stream(100))
+        requests = asyncio.create_task(world.stream(100))
         for _ in range(6):
             await asyncio.sleep(1.0)
             world.links.silence(world.nodes)
-        await asking
+        await requests
         assert [len(hosts) for hosts in world.fabric.checks.runs.values()] == [2]
 
     run_world(test, nodes=1)
 
 
-def test_requests_that_come_after_it_are_served():
+def test_later_requests_are_served():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
--- a/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
+++ b/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
@@ -20,14 +20,14 @@
     NodeReport,
     Totals,
 )
-from mulleinreach.gateway.known.crashes import Sighting
+from mulleinreach.gateway.known.crashes import RunObservation
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream
 
-SEEN = Sighting(3, 4, "u", "hall", RunOutcome.ENDED, 0.5)
+SEEN = RunObservation(3, 4, "u", "hall", RunOutcome.ENDED, 0.5)
 NODE_REPORT = encode_node_report(
     NodeReport("a", [LoadReport("u", 1, 10, 0.5, 0.5)], seq=4, hall="h", sightings=[SEEN])
 )
@@ -61,13 +61,13 @@
     read(decode, sound[:place] + bytes([byte]) + sound[place + 1 :])
 
 
-def test_sighting_of_an_outcome_that_is_not_known_is_refused():
-    spoilt = NodeReport("a", [], sightings=[Sighting(3, 4, "u", "hall", 99, 0.5)])
+def test_observation_with_unknown_outcome_is_refused():
+    malformed = NodeReport("a", [], sightings=[RunObservation(3, 4, "u", "hall", 99, 0.5)])
     with pytest.raises(PeerError):
-        decode_node_report(encode_node_report(spoilt))
+        decode_node_report(encode_node_report(malformed))
 
 
-def test_list_of_twice_the_hosts_at_the_size_to_design_for_is_read():
+def test_list_of_twice_the_maximum_number_of_hosts_is_decoded():
     member = Membership("g1000047.wide", 1_000_047, 3, MemberState.OPEN)
     hosts = [
         Upstream(
--- a/mulleinreach/gateway/coordination/tests/test_successor.py
+++ b/mulleinreach/gateway/coordination/tests/test_successor.py
@@ -8,52 +8,52 @@
 import pytest
 
 from mulleinreach.gateway.coordination.lease import Successor
-from mulleinreach.gateway.coordination.succession import tell_replaced
-from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.coordination.succession import notify_replaced
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import API_KEY, make_configuration
 
-STRICT = Bounds(key_evidence_s=4.5)
+STRICT = DeploymentBounds(max_key_evidence_age_s=4.5)
 NODES = 6
 
 
-async def turn_half_away(world) -> list[str]:
+async def block_store_access_of_half(world) -> list[str]:
     """Have the store refuse half of the nodes, the coordinator among them; returns them."""
     coordinator = world.coordinator()
     others = [name for name in world.nodes if name != coordinator]
-    away = [coordinator, *others[: NODES // 2 - 1]]
-    for name in away:
-        turn_away(world.nodes[name])
-    return away
+    without_store = [coordinator, *others[: NODES // 2 - 1]]
+    for name in without_store:
+        block_store_access(world.nodes[name])
+    return without_store
 
 
-def test_half_of_the_nodes_turned_away_with_the_coordinator_serve_on():
+def test_half_of_the_nodes_serve_on_without_store_access():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(3)
-        away = await turn_half_away(world)
+        without_store = await block_store_access_of_half(world)
         refused = 0
         for _ in range(60):
             await asyncio.sleep(0.2)
-            for name in away:
+            for name in without_store:
                 refused += (await world.call("/order/1", node=name)).status != 200
         assert refused == 0
-        assert world.coordinator() not in away
+        assert world.coordinator() not in without_store
 
     run_world(test, bounds=STRICT, nodes=NODES, domains=0)
 
 
-def test_nodes_turned_away_follow_what_the_new_coordinator_reads():
+def test_nodes_without_store_access_apply_new_configuration():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(3)
-        away = await turn_half_away(world)
+        without_store = await block_store_access_of_half(world)
         await asyncio.sleep(4)
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset({"new"})))
         await asyncio.sleep(0.8)
-        for name in away:
+        for name in without_store:
             assert (await world.call("/order/1", node=name, key=API_KEY)).status == 401
             assert (await world.call("/order/1", node=name, key="new")).status == 200
 
@@ -61,14 +61,14 @@
 
 
 @pytest.mark.parametrize("secret", ["", "another"])
-def test_word_of_a_successor_counts_only_with_the_secret_of_the_lease(secret):
+def test_successor_is_accepted_only_with_the_secret_of_the_lease(secret):
     async def test(world):
         await asyncio.sleep(3)
         holder = world.nodes[world.coordinator()]
         other = next(node for node in world.nodes.values() if node is not holder)
         forged = replace(holder.lease.record, secret=secret)
         successor = Successor(99, "10.0.0.1:1", "mine")
-        await tell_replaced(forged, successor, other.identity.name, other.network, other.log)
+        await notify_replaced(forged, successor, other.identity.name, other.network, other.log)
         await asyncio.sleep(0.3)
         assert holder.coordination._hub.successor is None
 
--- a/mulleinreach/gateway/coordination/totals.py
+++ b/mulleinreach/gateway/coordination/totals.py
@@ -9,52 +9,52 @@
 
 # One report in so many names open heads and held requests even if they are as they were told last:
 # a node that has just come has missed that.
-REPEAT_EVERY = 10
+FULL_TOTALS_INTERVAL_ROUNDS = 10
 
 
-class TellOnChange:
+class SendOnChange:
     """Decides when a value is told: when it has changed, and now and then all the same.
 
     Parameters
     ==========
 
-    told : what counts as told at first.
+    last_sent : what counts as last_sent at first.
     """
 
-    def __init__(self, told: object):
-        self._told = told
+    def __init__(self, last_sent: object):
+        self._last_sent = last_sent
 
-    def is_due(self, value: object, is_repetition: bool) -> bool:
+    def is_due(self, value: object, is_full_round: bool) -> bool:
         """Whether to tell a value now, which then counts as told."""
-        if value == self._told and not is_repetition:
+        if value == self._last_sent and not is_full_round:
             return False
-        self._told = value
+        self._last_sent = value
         return True
 
 
-class TotalsShortener:
+class TotalsCompactor:
     """Leaves out of totals what all nodes know already, or have no use for."""
 
     def __init__(self) -> None:
         self._round = 0
         # A coordinator that has just begun knows of no heads yet; nodes keep those that they know.
-        self._heads = TellOnChange([])
-        self._held = TellOnChange(set())
-        self._limits = TellOnChange(set())
+        self._heads = SendOnChange([])
+        self._held = SendOnChange(set())
+        self._limits = SendOnChange(set())
 
-    def shorten(self, totals: Totals) -> Totals:
+    def compact(self, totals: Totals) -> Totals:
         """Return the totals to send in the next round."""
         self._round += 1
-        is_repetition = self._round % REPEAT_EVERY == 0
+        is_full_round = self._round % FULL_TOTALS_INTERVAL_ROUNDS == 0
         # The times that remain to what is held change all the while.
         contents = {held.content for held in totals.held or ()}
         limits = {(limit.upstream_id, limit.per_s) for limit in totals.limits or ()}
         return replace(
             totals,
             loads=[load for load in totals.loads if load.running > 0],
-            heads=totals.heads if self._heads.is_due(totals.heads, is_repetition) else None,
-            held=totals.held if self._held.is_due(contents, is_repetition) else None,
-            limits=totals.limits if self._limits.is_due(limits, is_repetition) else None,
+            heads=totals.heads if self._heads.is_due(totals.heads, is_full_round) else None,
+            held=totals.held if self._held.is_due(contents, is_full_round) else None,
+            limits=totals.limits if self._limits.is_due(limits, is_full_round) else None,
         )
 
 
--- a/mulleinreach/gateway/deployment.py
+++ b/mulleinreach/gateway/deployment.py
@@ -9,40 +9,40 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class DeploymentBounds:
     """Times and shares that the operators of a deployment have agreed on.
 
     Parameters
     ==========
 
-    key_evidence_s : the greatest age of evidence on which a key is accepted.
+    max_key_evidence_age_s : the greatest age of evidence on which a key is accepted.
     trusts_keys_in_outages : whether keys are accepted for as long as no node can read
         the store. Elsewhere a key that was taken away must stop working in any case.
-    leaving_s, config_s : how soon nodes must have heard that an upstream leaves, and of a
+    leaving_propagation_s, config_propagation_s : how soon nodes must have heard that an upstream leaves, and of a
         new configuration.
     stop_grace_s : the time between the order to stop and the kill.
-    stall_s : how long a head with a missing member stands still before it breaks.
+    group_stall_s : how long a head with a missing member stands still before it breaks.
     retry_ratio, retry_slack, retry_window_s : the budget of second sends of a service.
     evacuation_s : how soon after an operator's request a hall's upstreams get nothing more.
     cold_ratio, cold_slack : the requests a second that a cold upstream may get from all
         nodes together: the ratio times what its service tells, and the slack.
-    halls_at_once : how many halls may be lost at once with all promises kept.
+    max_lost_halls : how many halls may be lost at once with all promises kept.
     heartbeat_s : how often upstreams write their rows.
     """
 
-    key_evidence_s: float = 4.5
+    max_key_evidence_age_s: float = 4.5
     trusts_keys_in_outages: bool = False
-    leaving_s: float = 2.0
-    config_s: float = 2.0
+    leaving_propagation_s: float = 2.0
+    config_propagation_s: float = 2.0
     stop_grace_s: float = 8.0
-    stall_s: float = 5.0
+    group_stall_s: float = 5.0
     retry_ratio: float = 0.2
     retry_slack: float = 100.0
     retry_window_s: float = 10.0
     evacuation_s: float = 5.0
     cold_ratio: float = 1.0
     cold_slack: float = 0.0
-    halls_at_once: int = 0
+    max_lost_halls: int = 0
     heartbeat_s: float = 1.2
 
 
--- a/mulleinreach/gateway/explain.py
+++ b/mulleinreach/gateway/explain.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-_ABOUT_UPSTREAMS = frozenset(
+_UPSTREAM_EVENTS = frozenset(
     {"upstream_lost", "group_checked", "group_retiring", "group_dissolving", "group_open", "order"}
 )
 
@@ -39,10 +39,10 @@
     if start < 0:
         return None
     try:
-        words = shlex.split(text[start:])
+        tokens = shlex.split(text[start:])
     except ValueError:
         return None
-    fields = dict(word.split("=", 1) for word in words if "=" in word)
+    fields = dict(token.split("=", 1) for token in tokens if "=" in token)
     return LogLine(text.strip(), fields)
 
 
@@ -59,15 +59,15 @@
     if not own:
         return []
     upstreams = {parsed[n].fields["upstream"] for n in own if parsed[n].fields.get("upstream")}
-    told = []
+    selected = []
     for number in range(own[0], own[-1] + 1):
         line = parsed[number]
         is_own = line.fields.get("id") == request_id
-        if is_own or (line.event in _ABOUT_UPSTREAMS and _names(line, upstreams)):
-            told.append(line.text)
-    return told
+        if is_own or (line.event in _UPSTREAM_EVENTS and _mentions_any(line, upstreams)):
+            selected.append(line.text)
+    return selected
 
 
-def _names(line: LogLine, upstreams: set[str]) -> bool:
+def _mentions_any(line: LogLine, upstreams: set[str]) -> bool:
     """Whether a line names one of the upstreams in any of its fields."""
     return any(upstream in value for value in line.fields.values() for upstream in upstreams)
--- a/mulleinreach/gateway/fleet/allocation.py
+++ b/mulleinreach/gateway/fleet/allocation.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from mulleinreach.gateway.fleet.planner import (
-    FULL_USAGE,
+    HIGH_USAGE,
     STANDBYS_PER_MODEL,
     DomainView,
     ServingGroup,
@@ -25,40 +25,40 @@
 
 # Groups of a model that may be lost at any moment: the others have to bear its work. Two,
 # since a second one may fail while the first is under repair.
-RESERVE = 2
+RESERVE_GROUPS = 2
 # The share of places in use above which a model is crowded, and below which it is so no more.
 # With one limit of 0.45, moves in bursts took groups that were missed when hosts were lost in
 # turn (0.06 of a day's worth on one of two such days of 48 hosts). At 0.66, a fifth of the
 # requests was late on a site of 162 hosts.
-CROWDED = 0.6
-RELIEVED = 0.45
+CROWDED_USAGE = 0.6
+RELIEVED_USAGE = 0.45
 # A move has to lower the cost by this share: meanwhile its hosts serve no caller for two to
 # four seconds, so a smaller gain is lost on those who wait.
-MOVE_GAIN = 0.2
+MIN_MOVE_GAIN = 0.2
 # Moves under way at a time; each is followed by what it changes within some seconds.
-MOVES_AT_ONCE = 3
+MAX_CONCURRENT_MOVES = 3
 # Callers hardly wait at half of the places and long at nearly all; a cube weighs them so.
-COST_POWER = 3
+COST_EXPONENT = 3
 
 
 @dataclass(frozen=True)
-class Work:
+class Workload:
     """The work of a service's models.
 
     Parameters
     ==========
 
     slots : places of a group.
-    places : places that requests of each model hold or wait for; empty before the first ones.
+    demand : demand that requests of each model hold or wait for; empty before the first ones.
     crowded : the models whose requests often wait, since so many of their places are in use.
-    hall_groups : the groups of each model in the hall that has most of them; empty where no
+    max_hall_groups : the groups of each model in the hall that has most of them; empty where no
         hall may be lost.
     """
 
     slots: int
-    places: dict[str, float]
+    demand: dict[str, float]
     crowded: frozenset[str] = frozenset()
-    hall_groups: Mapping[str, int] = field(default_factory=dict)
+    max_hall_groups: Mapping[str, int] = field(default_factory=dict)
 
     def reserve(self, model: str) -> int:
         """Return how many groups of a model may be lost at any moment.
@@ -66,32 +66,36 @@
         Examples
         ========
 
-        >>> work = Work(24, {}, hall_groups={"wide": 4, "narrow": 1})
-        >>> work.reserve("wide"), work.reserve("narrow"), Work(24, {}).reserve("wide")
+        >>> workload = Workload(24, {}, max_hall_groups={"wide": 4, "narrow": 1})
+        >>> workload.reserve("wide"), workload.reserve("narrow"), Workload(24, {}).reserve("wide")
         (4, 2, 2)
         """
-        return max(RESERVE, self.hall_groups.get(model, 0))
+        return max(RESERVE_GROUPS, self.max_hall_groups.get(model, 0))
 
-    def crowding(self, model: str, groups: int) -> float:
+    def usage_without_reserve(self, model: str, groups: int) -> float:
         """Return the share of a model's places in use once the reserve is lost.
 
         Examples
         ========
 
-        >>> work = Work(24, {"wide": 24, "narrow": 192})
-        >>> work.crowding("wide", 4), work.crowding("narrow", 10)
+        >>> workload = Workload(24, {"wide": 24, "narrow": 192})
+        >>> workload.usage_without_reserve("wide", 4), workload.usage_without_reserve("narrow", 10)
         (0.5, 1.0)
         """
-        spared = max(groups - self.reserve(model), groups / (1 + RESERVE), 1 / (1 + self.slots))
-        return self.places.get(model, 0.0) / (self.slots * spared)
+        spared = max(
+            groups - self.reserve(model), groups / (1 + RESERVE_GROUPS), 1 / (1 + self.slots)
+        )
+        return self.demand.get(model, 0.0) / (self.slots * spared)
 
     def cost(self, model: str, groups: int) -> float:
         """Return how much the requests of a model wait, in no unit."""
-        return self.places.get(model, 0.0) * self.crowding(model, groups) ** COST_POWER
+        return (
+            self.demand.get(model, 0.0) * self.usage_without_reserve(model, groups) ** COST_EXPONENT
+        )
 
     def usage(self, model: str, groups: int) -> float:
         """Return the share of a model's places in use."""
-        return self.places.get(model, 0.0) / (self.slots * max(1, groups))
+        return self.demand.get(model, 0.0) / (self.slots * max(1, groups))
 
 
 @dataclass(frozen=True)
@@ -122,14 +126,14 @@
     return totals
 
 
-def groups_in_fullest_hall(views: list[DomainView]) -> dict[str, int]:
+def max_groups_per_hall(views: list[DomainView]) -> dict[str, int]:
     """Return how many groups of each model the hall has that has most of them.
 
     Examples
     ========
 
     >>> views = [DomainView(n, 8, {"a": 1}, {}, (), hall=h) for n, h in ("dx", "ex", "fy")]
-    >>> groups_in_fullest_hall(views)
+    >>> max_groups_per_hall(views)
     {'a': 2}
     """
     fullest: dict[str, int] = {}
@@ -146,7 +150,9 @@
     return halls
 
 
-def crowded_models(views: list[DomainView], work: Work, before: frozenset[str]) -> frozenset[str]:
+def crowded_models(
+    views: list[DomainView], workload: Workload, before: frozenset[str]
+) -> frozenset[str]:
     """Return the models that are crowded now.
 
     Parameters
@@ -158,22 +164,22 @@
     ========
 
     >>> views = [DomainView("d", 8, {"a": 1, "b": 2}, {}, ())]
-    >>> sorted(crowded_models(views, Work(10, {"a": 5, "b": 13}), frozenset()))
+    >>> sorted(crowded_models(views, Workload(10, {"a": 5, "b": 13}), frozenset()))
     ['b']
-    >>> sorted(crowded_models(views, Work(10, {"a": 5, "b": 8}), frozenset("ab")))
+    >>> sorted(crowded_models(views, Workload(10, {"a": 5, "b": 8}), frozenset("ab")))
     ['a']
     """
     totals = total_groups(views)
 
     def is_crowded(model: str) -> bool:
-        limit = RELIEVED if model in before else CROWDED
-        return work.usage(model, totals[model]) > limit
+        limit = RELIEVED_USAGE if model in before else CROWDED_USAGE
+        return workload.usage(model, totals[model]) > limit
 
-    return frozenset(filter(is_crowded, work.places))
+    return frozenset(filter(is_crowded, workload.demand))
 
 
 def allocate(
-    views: list[DomainView], engine: EngineProfile, work: Work
+    views: list[DomainView], engine: EngineProfile, workload: Workload
 ) -> dict[str, dict[str, int]]:
     """Return how many groups of each model each domain should have.
 
@@ -184,29 +190,29 @@
     >>> engine = EngineProfile(models, slots=10)
     >>> views = [DomainView(name, 8, {"a": 1, "b": 1}, {}, ()) for name in ("e", "f", "g")]
     >>> views.append(DomainView("d", 8, {"b": 1}, {}, ()))
-    >>> allocate(views, engine, Work(10, {"a": 2, "b": 4}))["d"]
+    >>> allocate(views, engine, Workload(10, {"a": 2, "b": 4}))["d"]
     {'a': 1, 'b': 1}
-    >>> allocate(views, engine, Work(10, {"a": 2, "b": 25}, frozenset("b")))["d"]
+    >>> allocate(views, engine, Workload(10, {"a": 2, "b": 25}, frozenset("b")))["d"]
     {'a': 0, 'b': 3}
     """
     totals = total_groups(views)
-    if not work.crowded:
+    if not workload.crowded:
         return {view.name: target_groups(view, engine.models) for view in views}
     targets = {
         view.name: {m.name: view.groups.get(m.name, 0) for m in engine.models} for view in views
     }
-    while choices := list(_additions(views, targets, engine, work, totals)):
+    while choices := list(_candidate_groups(views, targets, engine, workload, totals)):
         _, domain, model = max(choices)
         targets[domain][model] += 1
         totals[model] += 1
     return targets
 
 
-def _additions(
+def _candidate_groups(
     views: list[DomainView],
     targets: dict[str, dict[str, int]],
     engine: EngineProfile,
-    work: Work,
+    workload: Workload,
     totals: Counter[str],
 ) -> Iterator[tuple[tuple[int, float], str, str]]:
     """Yield what each further group that fits in a domain would bring.
@@ -215,18 +221,18 @@
     """
     for model in engine.models:
         count = totals[model.name]
-        lacking = max(0, work.reserve(model.name) + 1 - count)
-        gain = work.cost(model.name, count) - work.cost(model.name, count + 1)
+        lacking = max(0, workload.reserve(model.name) + 1 - count)
+        gain = workload.cost(model.name, count) - workload.cost(model.name, count + 1)
         for view in views:
             own = targets[view.name]
             used = sum(own[m.name] * m.size for m in engine.models)
-            if model.size <= view.hosts - used - _kept(own, work, model, count):
+            if model.size <= view.hosts - used - _reserved_hosts(own, workload, model, count):
                 yield (lacking, gain / model.size), view.name, model.name
 
 
-def _kept(own: dict[str, int], work: Work, model: EngineModel, count: int) -> int:
+def _reserved_hosts(own: dict[str, int], workload: Workload, model: EngineModel, count: int) -> int:
     """Return how many hosts of a domain a further group of a model leaves for standbys."""
-    if own[model.name] == 0 or work.usage(model.name, count) > FULL_USAGE:
+    if own[model.name] == 0 or workload.usage(model.name, count) > HIGH_USAGE:
         return 0
     return STANDBYS_PER_MODEL * len(own)
 
@@ -235,8 +241,8 @@
     views: list[DomainView],
     resting: list[DomainView],
     engine: EngineProfile,
-    work: Work,
-    staying: Collection[str] = (),
+    workload: Workload,
+    cooling_down: Collection[str] = (),
 ) -> Move | None:
     """Return the move that lowers the cost most, if one is worth it.
 
@@ -244,7 +250,7 @@
     ==========
 
     resting : the domains in which a move may begin.
-    staying : models whose groups give way only to one that is down to its reserve.
+    cooling_down : models whose groups give way only to one that is down to its reserve.
 
     Examples
     ========
@@ -256,46 +262,48 @@
     >>> views = [
     ...     DomainView(f"d{n}", 8, {"a": 1, "b": 1}, {}, (), {}, serving=(group,)) for n in range(6)
     ... ]
-    >>> move = next_move(views, views, engine, Work(10, {"a": 10, "b": 40}, frozenset("b")))
+    >>> move = next_move(views, views, engine, Workload(10, {"a": 10, "b": 40}, frozenset("b")))
     >>> move.from_model, move.to_model, move.count, move.is_ready
     ('a', 'b', 2, False)
-    >>> next_move(views, views, engine, Work(10, {"a": 10, "b": 20})) is None
+    >>> next_move(views, views, engine, Workload(10, {"a": 10, "b": 20})) is None
     True
     """
     totals = total_groups(views)
     by_hall = _groups_by_hall(views)
-    now = _cost(work, engine, totals)
+    now = _cost(workload, engine, totals)
     best: tuple[tuple, Move] | None = None
     for view in resting:
-        for move in _moves_in(view, engine, work, totals):
-            if move.from_model in staying and totals[move.to_model] > work.reserve(move.to_model):
+        for move in _moves_in(view, engine, workload, totals):
+            if move.from_model in cooling_down and totals[move.to_model] > workload.reserve(
+                move.to_model
+            ):
                 continue
             after = totals.copy()
             after[move.from_model] -= len(move.ended)
             after[move.to_model] += move.count - view.groups.get(move.to_model, 0)
-            then = _cost(work, engine, after)
+            then = _cost(workload, engine, after)
             # Groups of the model that gives way should remain in many halls.
             in_hall = by_hall[view.hall][move.from_model]
             rank = (move.is_ready, -then, in_hall, view.name)
-            if then <= (1 - MOVE_GAIN) * now and (best is None or rank > best[0]):
+            if then <= (1 - MIN_MOVE_GAIN) * now and (best is None or rank > best[0]):
                 best = (rank, move)
     return None if best is None else best[1]
 
 
-def _cost(work: Work, engine: EngineProfile, totals: Counter[str]) -> float:
-    return sum(work.cost(model.name, totals[model.name]) for model in engine.models)
+def _cost(workload: Workload, engine: EngineProfile, totals: Counter[str]) -> float:
+    return sum(workload.cost(model.name, totals[model.name]) for model in engine.models)
 
 
 def _moves_in(
-    view: DomainView, engine: EngineProfile, work: Work, totals: Counter[str]
+    view: DomainView, engine: EngineProfile, workload: Workload, totals: Counter[str]
 ) -> Iterator[Move]:
     """Yield the smallest moves in one domain that help a crowded model."""
     for to in engine.models:
-        if to.name not in work.crowded:
+        if to.name not in workload.crowded:
             continue
         for giving in engine.models:
             # The last groups of a model stay, even if nobody asks for it at the moment.
-            most = totals[giving.name] - work.reserve(giving.name) - 1
+            most = totals[giving.name] - workload.reserve(giving.name) - 1
             if giving is to or most < 1:
                 continue
             move = _smallest_move(view, giving, to, most)
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -16,27 +16,27 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.reports import (
     OpenHead,
 )
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.halls import HallWatch
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.halls import HallMonitor
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.placement import Placement
-from mulleinreach.gateway.fleet.watch import GroupWatch
+from mulleinreach.gateway.fleet.watch import GroupMonitor
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head, collect_groups, open_heads
 from mulleinreach.gateway.model import Service
 
-TICK_S = 0.1
-MIN_TICK_S = 0.03
+MAX_PASS_INTERVAL_S = 0.1
+MIN_PASS_INTERVAL_S = 0.03
 
 
 @dataclass(frozen=True)
-class FleetView:
+class FleetStatus:
     """What the coordinator tells of its fleet.
 
     Parameters
@@ -59,25 +59,25 @@
     ==========
 
     hall : the hall of this node.
-    spares_hall : whether the loss of a whole hall is to be borne.
+    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
     loads : returns the load of all nodes together.
     nodes : returns the nodes that were heard lately.
     is_first_holder : whether no other life of a node has coordinated before.
-    read_anew : reads the whole list of hosts; what an earlier coordinator did last
+    reread_hosts : reads the whole list of hosts; what an earlier coordinator did last
         must be seen before anything is decided.
     """
 
     def __init__(
         self,
         hall: str,
-        spares_hall: bool,
-        hosts: HostBook,
+        tolerates_hall_loss: bool,
+        hosts: HostRegistry,
         operator: GroupOperator,
         in_force: ConfigurationInForce,
         loads: Callable[[], list[LoadReport]],
-        nodes: Callable[[], list[HeardNode]],
+        nodes: Callable[[], list[RecentNode]],
         is_first_holder: Callable[[], bool],
-        read_anew: Callable[[], Awaitable[bool]],
+        reread_hosts: Callable[[], Awaitable[bool]],
         clock: Clock,
         log: EventLog,
     ):
@@ -87,47 +87,49 @@
         self._in_force = in_force
         self._loads = loads
         self._is_first_holder = is_first_holder
-        self._read_anew = read_anew
-        self._duties = HostDuties(hosts, log)
+        self._reread_hosts = reread_hosts
+        self._host_tasks = HostTasks(hosts, log)
         self._placement = Placement(
-            spares_hall,
+            tolerates_hall_loss,
             hosts,
             operator,
-            self._duties,
+            self._host_tasks,
             lambda: in_force.evacuations.halls,
             clock,
             log,
         )
-        self._halls = HallWatch(hall, hosts, operator, self._duties, nodes, clock, log)
-        self._watch = GroupWatch(hosts, operator, self._placement, self._duties, loads, clock, log)
+        self._hall_monitor = HallMonitor(hall, hosts, operator, self._host_tasks, nodes, clock, log)
+        self._group_monitor = GroupMonitor(
+            hosts, operator, self._placement, self._host_tasks, loads, clock, log
+        )
 
     def notify(self) -> None:
         """The list of hosts has changed."""
         self._operator.notify()
-        self._duties.wake.set()
+        self._host_tasks.wake.set()
 
     async def run(self) -> None:
         """Do the duty until cancelled."""
-        self._placement.gate.is_limited = not self._is_first_holder()
+        self._placement.load_limiter.is_limited = not self._is_first_holder()
         try:
-            while not await self._read_anew():
+            while not await self._reread_hosts():
                 self._log.event("list_unread", why="the store gave no answer")
             self._hosts.begin_term(self._is_first_holder())
             while True:
-                self._halls.look(self._open_heads())
+                self._hall_monitor.check_halls(self._open_heads())
                 for service in self._model_services():
-                    self._look_at(service)
-                await asyncio.sleep(MIN_TICK_S)
-                self._duties.wake.clear()
+                    self._check_service(service)
+                await asyncio.sleep(MIN_PASS_INTERVAL_S)
+                self._host_tasks.wake.clear()
                 try:
-                    async with asyncio.timeout(TICK_S):
-                        await self._duties.wake.wait()
+                    async with asyncio.timeout(MAX_PASS_INTERVAL_S):
+                        await self._host_tasks.wake.wait()
                 except TimeoutError:
                     continue
         finally:
             self._placement.end_term()
-            self._halls.end_term()
-            await self._duties.close()
+            self._hall_monitor.end_term()
+            await self._host_tasks.close()
 
     def _model_services(self) -> list[Service]:
         configuration = self._in_force.configuration
@@ -143,7 +145,7 @@
             for head in open_heads(self._hosts.listed(service.name))
         ]
 
-    def describe(self) -> FleetView:
+    def describe(self) -> FleetStatus:
         """Return what all nodes should know of groups and hosts."""
         retiring = self._hosts.retiring_heads()
         heads = []
@@ -151,16 +153,16 @@
             for head in open_heads(self._hosts.usable(service.name)):
                 if head.upstream.id in retiring:
                     continue
-                pace = self._watch.pace((head.group, head.epoch))
+                pace = self._group_monitor.pace((head.group, head.epoch))
                 heads.append(OpenHead(head.upstream.id, head.group, head.epoch, head.model, pace))
-        return FleetView(heads, self._hosts.lost(), retiring)
+        return FleetStatus(heads, self._hosts.lost(), retiring)
 
-    def _look_at(self, service: Service) -> None:
+    def _check_service(self, service: Service) -> None:
         self._hosts.refresh(service.name)
         groups = collect_groups(self._hosts.listed(service.name))
         loads = {load.upstream_id: load for load in self._loads()}
-        self._placement.gate.is_limited |= bool(loads)
+        self._placement.load_limiter.is_limited |= bool(loads)
         for key, group in groups.items():
-            self._watch.look_at(service.engine, key, group, loads)
-        self._watch.recheck_lost()
+            self._group_monitor.check_group(service.engine, key, group, loads)
+        self._group_monitor.recheck_lost()
         self._placement.plan(service, groups, loads)
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -19,7 +19,7 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import (
@@ -34,12 +34,12 @@
 from mulleinreach.gateway.upstream import MemberState, Upstream, group_name
 
 EPOCHS_PER_TOKEN = 1_000_000
-ORDER_TRIES = 4
+MAX_ORDER_ATTEMPTS = 4
 PROBE_TIMEOUT_S = 0.25
-POLL_S = 0.4
+POLL_INTERVAL_S = 0.4
 OPEN_TIMEOUT_S = 2.0
 # A step that should take longer waits for weights, and is followed by the list alone.
-QUICK_PATIENCE_S = 3.0
+QUICK_STEP_TIMEOUT_S = 3.0
 # Reports may be a little older than the engines' settings say.
 REPORT_LAG_MARGIN_S = 0.05
 
@@ -77,7 +77,7 @@
         self,
         orders: EngineOrders,
         lease: CoordinatorLease,
-        hosts: HostBook,
+        hosts: HostRegistry,
         report_lag_s: Callable[[str], float],
         is_resting: Callable[[str], bool],
         metrics: GatewayMetrics,
@@ -92,14 +92,14 @@
         self._metrics = metrics
         self._clock = clock
         self._log = log
-        self._count = 0
-        self._waits = 0
-        self._changed = asyncio.Event()
+        self._issued_epochs = 0
+        self._quick_waits = 0
+        self._state_changed = asyncio.Event()
 
     @property
     def is_waiting(self) -> bool:
         """Whether a step that takes no load of weights waits for a host's state."""
-        return self._waits > 0
+        return self._quick_waits > 0
 
     def is_lease_fresh(self) -> bool:
         """Whether orders can be given for the next second at least."""
@@ -107,13 +107,13 @@
 
     def notify(self) -> None:
         """Wake those who wait for a host's state."""
-        self._changed.set()
-        self._changed = asyncio.Event()
+        self._state_changed.set()
+        self._state_changed = asyncio.Event()
 
     def next_epoch(self) -> int:
         """Return an epoch above all that were used under this and earlier leases."""
-        self._count += 1
-        return self._lease.token * EPOCHS_PER_TOKEN + self._count
+        self._issued_epochs += 1
+        return self._lease.token * EPOCHS_PER_TOKEN + self._issued_epochs
 
     async def probe(
         self, host: Upstream, timeout_s: float = PROBE_TIMEOUT_S
@@ -123,17 +123,17 @@
         report = await self._orders.report(host, timeout_s)
         if isinstance(report, Unavailable):
             return report
-        if self._hosts.take_report(report, as_of):
+        if self._hosts.merge_report(report, as_of):
             self.notify()
         return self._hosts.get(host.id) or report
 
     def _lag_s(self, host: Upstream) -> float:
         return self._report_lag_s(host.service) + REPORT_LAG_MARGIN_S
 
-    # Forming.
+    # PendingFormation.
 
     async def join_all(
-        self, model: str, members: list[Upstream], patience_s: float
+        self, model: str, members: list[Upstream], timeout_s: float
     ) -> tuple[Group, JoinOutcome]:
         """Join hosts into a new group; returns it, and what came of it.
 
@@ -143,7 +143,7 @@
         epoch = self.next_epoch()
         name = group_name(epoch, model)
         ids = [member.id for member in members]
-        if not all(await asyncio.gather(*(self._stands_as_known(m) for m in members))):
+        if not all(await asyncio.gather(*(self._matches_known_group(m) for m in members))):
             self._log.event("group_not_joined", group=name, why="a host stands elsewhere")
             return Group(name, epoch, dict(enumerate(members))), JoinOutcome.WITHHELD
         self._log.event("group_joining", group=name, model=model, members=",".join(ids))
@@ -153,13 +153,13 @@
         if not all(results):
             return group, JoinOutcome.NOT_READY
         if not await self._wait_until(
-            lambda: self._are_ready(name, epoch, ids), members, patience_s
+            lambda: self._are_ready(name, epoch, ids), members, timeout_s
         ):
             self._log.event("group_not_ready", group=name, model=model)
             return group, JoinOutcome.NOT_READY
         return group, JoinOutcome.READY
 
-    async def _stands_as_known(self, member: Upstream) -> bool:
+    async def _matches_known_group(self, member: Upstream) -> bool:
         """Whether a host itself says that it stands in the group that its row tells.
 
         A report is some tenths of a second old. One that tells of just the group which
@@ -170,7 +170,7 @@
         if isinstance(report, Unavailable):
             self._hosts.mark_lost(member.id)
             return False
-        self._hosts.take_report(report, as_of)
+        self._hosts.merge_report(report, as_of)
         if report.place == member.place:
             return True
         return member.place is None and self._hosts.has_left_since(member.id, report.place, as_of)
@@ -178,43 +178,43 @@
     async def _join(
         self, member: Upstream, name: str, epoch: int, model: str, ids: list[str]
     ) -> bool:
-        for _ in self._tries(member):
+        for _ in self._attempts(member):
             result = await self._orders.join(member, name, epoch, model, ids, self._lease.token)
-            self._take_result("join", member, name, result)
+            self._handle_result("join", member, name, result)
             if isinstance(result, Accepted):
                 return True
             if isinstance(result, Rejected):
                 return False
-            if self._stands_in(member.id, name, epoch):
+            if self._is_member(member.id, name, epoch):
                 return True
             if isinstance(await self.probe(member), Unavailable):
                 self._hosts.mark_lost(member.id)
                 return False
         return False
 
-    def _tries(self, host: Upstream) -> Iterator[int]:
+    def _attempts(self, host: Upstream) -> Iterator[int]:
         """Count the tries of an order, for as long as it may be given once more.
 
         A host that wants rest still gets a first order, since groups wait for it; it gets none
         again and again.
         """
-        for number in range(ORDER_TRIES):
+        for number in range(MAX_ORDER_ATTEMPTS):
             self._check_lease()
             if self._hosts.is_lost(host.id) or (number and self._is_resting(host.id)):
                 return
             yield number
 
-    async def stage(self, host: Upstream, model: str, patience_s: float) -> bool:
+    async def stage(self, host: Upstream, model: str, timeout_s: float) -> bool:
         """Have a host load a model's weights beside its work; returns whether it has them."""
         result: OrderResult | None = None
-        for _ in self._tries(host):
+        for _ in self._attempts(host):
             result = await self._orders.stage(host, model, self._lease.token)
-            self._take_result("stage", host, "", result)
+            self._handle_result("stage", host, "", result)
             if not isinstance(result, NoAnswer):
                 break
         if not isinstance(result, Accepted):
             return False
-        return await self._wait_until(lambda: self._has_staged(host.id, model), [host], patience_s)
+        return await self._wait_until(lambda: self._has_staged(host.id, model), [host], timeout_s)
 
     def _has_staged(self, host: str, model: str) -> bool:
         known = self._hosts.get(host)
@@ -223,23 +223,27 @@
     async def open(self, group: Group) -> Outcome:
         """Let a group serve whose members were all seen ready."""
         head = group.head
-        until = self._clock.now() + OPEN_TIMEOUT_S
-        while self._clock.now() < until:
+        deadline = self._clock.now() + OPEN_TIMEOUT_S
+        while self._clock.now() < deadline:
             self._check_lease()
-            if not self._are_ready(group.name, group.epoch, [m.id for m in self._ranked(group)]):
+            if not self._are_ready(
+                group.name, group.epoch, [m.id for m in self._members_by_rank(group)]
+            ):
                 return Outcome.FAILED
             result = await self._orders.open(head, group.name, group.epoch, self._lease.token)
-            self._take_result("open", head, group.name, result)
+            self._handle_result("open", head, group.name, result)
             if isinstance(result, Rejected):
                 return Outcome.FAILED
-            if await self._wait_until(lambda: self._is_open(head.id, group), [head], POLL_S * 2):
+            if await self._wait_until(
+                lambda: self._is_open(head.id, group), [head], POLL_INTERVAL_S * 2
+            ):
                 self._log.event("group_open", group=group.name, head=head.id)
                 return Outcome.DONE
             if self._is_resting(head.id):
                 return Outcome.FAILED
         return Outcome.FAILED
 
-    def note_repair(self, missing_s: float | None) -> None:
+    def record_repair(self, missing_s: float | None) -> None:
         """Take in for how long the group that was opened last had been missing, if it was."""
         if missing_s is not None:
             self._metrics.observe_repair(missing_s)
@@ -257,30 +261,30 @@
             if await self._leave(head, group):
                 return None
             self._hosts.mark_lost(head.id)
-        members = [m for m in self._ranked(group) if head is None or m.id != head.id]
+        members = [m for m in self._members_by_rank(group) if head is None or m.id != head.id]
         alive = [m for m in members if not self._hosts.is_lost(m.id)]
         results = await asyncio.gather(*(self._leave(member, group) for member in alive))
         return {m.id for m, has_left in zip(alive, results, strict=True) if has_left}
 
     async def _leave(self, member: Upstream, group: Group) -> bool:
-        for _ in self._tries(member):
+        for _ in self._attempts(member):
             result = await self._orders.leave(member, group.name, group.epoch, self._lease.token)
-            self._take_result("leave", member, group.name, result)
+            self._handle_result("leave", member, group.name, result)
             if isinstance(result, Accepted):
-                self._hosts.note_left(member.id, group)
+                self._hosts.record_left(member.id, group)
             if not isinstance(result, NoAnswer):
                 # A host that refuses to leave a group does not stand in it.
                 return True
             report = await self.probe(member)
             if isinstance(report, Unavailable):
                 return False
-            if not self._stands_in(member.id, group.name, group.epoch):
+            if not self._is_member(member.id, group.name, group.epoch):
                 return True
         return False
 
     # What hosts say.
 
-    def _stands_in(self, host: str, name: str, epoch: int) -> bool:
+    def _is_member(self, host: str, name: str, epoch: int) -> bool:
         known = self._hosts.get(host)
         return known is not None and known.place == (name, epoch)
 
@@ -298,44 +302,44 @@
 
     def _is_open(self, host: str, group: Group) -> bool:
         known = self._hosts.get(host)
-        if not self._stands_in(host, group.name, group.epoch):
+        if not self._is_member(host, group.name, group.epoch):
             return False
         return known.membership.state is MemberState.OPEN
 
-    async def _wait_until(self, holds, members: list[Upstream], patience_s: float) -> bool:
+    async def _wait_until(self, is_met, members: list[Upstream], timeout_s: float) -> bool:
         """Wait until hosts say what is hoped for; ask them when their list is silent."""
-        is_quick = patience_s < QUICK_PATIENCE_S
-        self._waits += is_quick
+        is_quick = timeout_s < QUICK_STEP_TIMEOUT_S
+        self._quick_waits += is_quick
         try:
-            return await self._wait_for_hosts(holds, members, patience_s, is_quick)
+            return await self._wait_for_hosts(is_met, members, timeout_s, is_quick)
         finally:
-            self._waits -= is_quick
+            self._quick_waits -= is_quick
 
     async def _wait_for_hosts(
-        self, holds, members: list[Upstream], patience_s: float, is_quick: bool
+        self, is_met, members: list[Upstream], timeout_s: float, is_quick: bool
     ) -> bool:
-        until = self._clock.now() + patience_s
-        while not holds():
-            changed = self._changed
-            remaining_s = until - self._clock.now()
+        deadline = self._clock.now() + timeout_s
+        while not is_met():
+            state_changed = self._state_changed
+            remaining_s = deadline - self._clock.now()
             if remaining_s <= 0 or any(self._hosts.is_lost(m.id) for m in members):
                 return False
             try:
-                async with asyncio.timeout(min(POLL_S, remaining_s)):
-                    await changed.wait()
+                async with asyncio.timeout(min(POLL_INTERVAL_S, remaining_s)):
+                    await state_changed.wait()
             except TimeoutError:
                 if is_quick:
                     await asyncio.gather(*(self.probe(member) for member in members))
         return True
 
-    def _ranked(self, group: Group) -> list[Upstream]:
+    def _members_by_rank(self, group: Group) -> list[Upstream]:
         return [group.members[rank] for rank in sorted(group.members)]
 
     def _check_lease(self) -> None:
         if not self._lease.is_held():
             raise LeaseLost
 
-    def _take_result(self, order: str, host: Upstream, group: str, result: OrderResult) -> None:
+    def _handle_result(self, order: str, host: Upstream, group: str, result: OrderResult) -> None:
         outcome = type(result).__name__
         self._metrics.count_order(order, outcome)
         detail = getattr(result, "reason", getattr(result, "status", ""))
@@ -343,5 +347,5 @@
             "order", order=order, host=host.id, group=group, outcome=outcome, detail=detail
         )
         if isinstance(result, Fenced):
-            self._lease.note_fenced()
+            self._lease.mark_fenced()
             raise LeaseLost
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -22,11 +22,11 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.totals import sum_loads
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.ports import Unavailable
@@ -34,28 +34,28 @@
 
 # A busy group gives some caller a byte every few tens of milliseconds. Callers wait for what
 # stands still, so no longer than it takes until a group by itself is suspected.
-HEADS_STILL_S = 0.3
+STALLED_HEAD_S = 0.3
 # Three reports where there are many nodes. A single node that is short of processor time
 # may be as late, but not all nodes of a hall at once.
-NODES_SILENT_S = 0.6
+SILENT_NODES_S = 0.6
 # One group may stand still for a lost member; two at once are no accident of one group.
-LEAST_HEADS = 2
+MIN_STALLED_HEADS = 2
 # Where no node tells of the hall, heads alone must stand still for longer than a report or a
 # garbage collection is late. Nodes leave a head that stands still a little later (1.3 s).
-HEADS_ALONE_S = 1.0
+LONG_STALLED_HEAD_S = 1.0
 # Nodes report no more often than that, and adding up the loads of all nodes takes time.
-LOOK_S = 0.1
+HALL_CHECK_INTERVAL_S = 0.1
 # Callers wait for the places of a hall that is back, and a question costs a host little.
-ASK_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 # A host that is asked may be one that doesn't come back.
-ASKED_AT_ONCE = 2
+HOSTS_PER_PROBE_ROUND = 2
 # Rows that were written just before the failure are heard of by then.
-ROWS_LATE_S = 1.0
+ROW_DELAY_S = 1.0
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True)
-class HallSigns:
+class HallHealth:
     """What tells whether a hall is alive.
 
     Parameters
@@ -83,39 +83,39 @@
         Examples
         ========
 
-        >>> HallSigns("a", 6, 0, 2, 0, 3, 0.7).has_failed()
+        >>> HallHealth("a", 6, 0, 2, 0, 3, 0.7).has_failed()
         True
-        >>> HallSigns("a", 6, 1, 3, 0, 3, 0.7).has_failed()
+        >>> HallHealth("a", 6, 1, 3, 0, 3, 0.7).has_failed()
         False
-        >>> HallSigns("a", 6, 0, 2, 0, 3, 0.1).has_failed()
+        >>> HallHealth("a", 6, 0, 2, 0, 3, 0.1).has_failed()
         False
-        >>> HallSigns("a", 6, 0, 3, 2, 0, float("inf")).has_failed()
+        >>> HallHealth("a", 6, 0, 3, 2, 0, float("inf")).has_failed()
         False
-        >>> HallSigns("a", 6, 0, 3, 3, 0, float("inf")).has_failed()
+        >>> HallHealth("a", 6, 0, 3, 3, 0, float("inf")).has_failed()
         True
         """
-        least = min(LEAST_HEADS, self.heads)
+        least = min(MIN_STALLED_HEADS, self.heads)
         if self.moving or not self.heads or self.still < least:
             return False
         if self.nodes:
-            return self.nodes_silent_s >= NODES_SILENT_S
+            return self.nodes_silent_s >= SILENT_NODES_S
         # Nodes pass over heads that stand still, so not all of them have requests.
         return self.long_still >= max(least, self.heads / 2)
 
 
 @dataclass
-class _DownHall:
+class _FailedHall:
     """A hall that has failed, and the rows of its upstreams as they stood last."""
 
-    found_at: float
+    failed_at: float
     rows: dict[str, Upstream]
     # When hosts there were asked last, and how often: it decides which ones are next.
-    asked_at: float = NEVER
-    asked: int = 0
+    probed_at: float = NEVER
+    probe_rounds: int = 0
 
 
-class HallWatch:
-    """Looks at all halls, and tells :class:`HostBook` which ones are down.
+class HallMonitor:
+    """Looks at all halls, and tells :class:`HostRegistry` which ones are failure.
 
     Parameters
     ==========
@@ -127,24 +127,24 @@
     def __init__(
         self,
         own_hall: str,
-        hosts: HostBook,
+        hosts: HostRegistry,
         operator: GroupOperator,
-        duties: HostDuties,
-        nodes: Callable[[], list[HeardNode]],
+        duties: HostTasks,
+        nodes: Callable[[], list[RecentNode]],
         clock: Clock,
         log: EventLog,
     ):
         self._own_hall = own_hall
         self._hosts = hosts
         self._operator = operator
-        self._duties = duties
+        self._host_tasks = duties
         self._nodes = nodes
         self._clock = clock
         self._log = log
-        self._looked_at = NEVER
-        self._down: dict[str, _DownHall] = {}
+        self._checked_at = NEVER
+        self._failures: dict[str, _FailedHall] = {}
 
-    def look(self, heads: Iterable[Head]) -> None:
+    def check_halls(self, heads: Iterable[Head]) -> None:
         """Decide which halls are down.
 
         Parameters
@@ -153,33 +153,33 @@
         heads : the open groups of all services, those of lost hosts too.
         """
         now = self._clock.now()
-        if now - self._looked_at < LOOK_S:
+        if now - self._checked_at < HALL_CHECK_INTERVAL_S:
             return
-        self._looked_at = now
+        self._checked_at = now
         nodes = self._nodes()
-        for hall, down in list(self._down.items()):
-            self._look_whether_back(hall, down, nodes)
-        up = [head for head in heads if head.upstream.hall not in self._down]
+        for hall, failure in list(self._failures.items()):
+            self._check_recovery(hall, failure, nodes)
+        up = [head for head in heads if head.upstream.hall not in self._failures]
         if _may_have_failed(up, nodes):
-            for signs in failed_halls(self._signs(up, nodes), self._own_hall):
-                self._begin(signs)
+            for signs in failed_halls(self._hall_health(up, nodes), self._own_hall):
+                self._mark_down(signs)
 
-    def _signs(self, heads: list[Head], nodes: list[HeardNode]) -> list[HallSigns]:
+    def _hall_health(self, heads: list[Head], nodes: list[RecentNode]) -> list[HallHealth]:
         """Return the signs of all halls with open groups.
 
         What a silent node told last would show progress that there is no more.
         """
-        heard = [node.report for node in nodes if node.silent_s < NODES_SILENT_S]
-        loads = {load.upstream_id: load for load in sum_loads(heard)}
+        reports = [node.report for node in nodes if node.silent_s < SILENT_NODES_S]
+        loads = {load.upstream_id: load for load in sum_loads(reports)}
         lost = {h.upstream.id for h in heads if self._hosts.is_lost(h.upstream.id)}
         return [
-            hall_signs(hall, [h for h in heads if h.upstream.hall == hall], loads, lost, nodes)
+            assess_hall(hall, [h for h in heads if h.upstream.hall == hall], loads, lost, nodes)
             for hall in sorted({h.upstream.hall for h in heads})
         ]
 
-    def _begin(self, signs: HallSigns) -> None:
+    def _mark_down(self, signs: HallHealth) -> None:
         now = self._clock.now()
-        self._down[signs.hall] = _DownHall(now, self._hosts.rows_of_hall(signs.hall))
+        self._failures[signs.hall] = _FailedHall(now, self._hosts.upstreams_in_hall(signs.hall))
         self._hosts.mark_hall_down(signs.hall)
         self._log.event(
             "hall_down",
@@ -189,69 +189,71 @@
             long_still=signs.long_still,
             nodes=signs.nodes,
             nodes_silent_s=round(signs.nodes_silent_s, 2),
-            upstreams=len(self._down[signs.hall].rows),
+            upstreams=len(self._failures[signs.hall].rows),
         )
 
-    def _look_whether_back(self, hall: str, down: _DownHall, nodes: list[HeardNode]) -> None:
+    def _check_recovery(self, hall: str, failure: _FailedHall, nodes: list[RecentNode]) -> None:
         now = self._clock.now()
-        reported = [n for n in nodes if n.report.hall == hall and now - n.silent_s > down.found_at]
+        reported = [
+            n for n in nodes if n.report.hall == hall and now - n.silent_s > failure.failed_at
+        ]
         if reported:
-            self._end(hall, "a node there reports")
+            self._mark_up(hall, "a node there reports")
             return
-        if self._changed(hall, down):
-            self._end(hall, "a row there has changed")
+        if self._has_changed(hall, failure):
+            self._mark_up(hall, "a row there has changed")
             return
-        if now - down.asked_at >= ASK_EVERY_S:
-            down.asked_at = now
-            for host in self._next_asked(down):
-                self._duties.spawn_question(self._ask(hall, host))
+        if now - failure.probed_at >= PROBE_INTERVAL_S:
+            failure.probed_at = now
+            for host in self._next_probed(failure):
+                self._host_tasks.spawn_probe(self._probe(hall, host))
 
-    def _changed(self, hall: str, down: _DownHall) -> bool:
+    def _has_changed(self, hall: str, failure: _FailedHall) -> bool:
         """Whether a row there has changed or come; one that goes has merely lapsed."""
-        rows = self._hosts.rows_of_hall(hall)
-        if self._clock.now() - down.found_at < ROWS_LATE_S:
-            down.rows = rows
-        return any(down.rows.get(host) != upstream for host, upstream in rows.items())
+        rows = self._hosts.upstreams_in_hall(hall)
+        if self._clock.now() - failure.failed_at < ROW_DELAY_S:
+            failure.rows = rows
+        return any(failure.rows.get(host) != upstream for host, upstream in rows.items())
 
-    def _next_asked(self, down: _DownHall) -> list[Upstream]:
+    def _next_probed(self, failure: _FailedHall) -> list[Upstream]:
         """Return the hosts to be asked next, each in its turn, and far from each other."""
-        hosts = [upstream for upstream in down.rows.values() if upstream.domain is not None]
+        hosts = [upstream for upstream in failure.rows.values() if upstream.domain is not None]
         hosts.sort(key=lambda host: (host.domain, host.id))
-        apart = max(1, len(hosts) // ASKED_AT_ONCE)
-        first, down.asked = down.asked, down.asked + 1
-        places = range(min(ASKED_AT_ONCE, len(hosts)))
+        apart = max(1, len(hosts) // HOSTS_PER_PROBE_ROUND)
+        first, failure.probe_rounds = failure.probe_rounds, failure.probe_rounds + 1
+        places = range(min(HOSTS_PER_PROBE_ROUND, len(hosts)))
         return [hosts[(first + place * apart) % len(hosts)] for place in places]
 
-    async def _ask(self, hall: str, host: Upstream) -> None:
+    async def _probe(self, hall: str, host: Upstream) -> None:
         answer = await self._operator.probe(host)
-        if hall in self._down and not isinstance(answer, Unavailable):
-            self._end(hall, "a host there answers")
-            self._duties.wake.set()
+        if hall in self._failures and not isinstance(answer, Unavailable):
+            self._mark_up(hall, "a host there answers")
+            self._host_tasks.wake.set()
 
-    def _end(self, hall: str, why: str) -> None:
-        down = self._down.pop(hall)
+    def _mark_up(self, hall: str, why: str) -> None:
+        failure = self._failures.pop(hall)
         back = {
             host
-            for host, upstream in self._hosts.rows_of_hall(hall).items()
-            if down.rows.get(host) != upstream
+            for host, upstream in self._hosts.upstreams_in_hall(hall).items()
+            if failure.rows.get(host) != upstream
         }
         self._hosts.mark_hall_up(hall, back)
-        down_for_s = round(self._clock.now() - down.found_at, 2)
+        down_for_s = round(self._clock.now() - failure.failed_at, 2)
         self._log.event("hall_up", hall=hall, why=why, down_for_s=down_for_s, back=len(back))
 
     def end_term(self) -> None:
         """Leave halls that are down as single hosts that gave no answer."""
-        for hall in list(self._down):
-            self._end(hall, "the duty ends")
+        for hall in list(self._failures):
+            self._mark_up(hall, "the duty ends")
 
 
-def hall_signs(
+def assess_hall(
     hall: str,
     heads: list[Head],
     loads: dict[str, LoadReport],
     lost: set[str],
-    nodes: list[HeardNode],
-) -> HallSigns:
+    nodes: list[RecentNode],
+) -> HallHealth:
     """Return what tells whether a hall is alive.
 
     Parameters
@@ -262,19 +264,19 @@
     lost : heads that were found to give no answer.
     """
     there = [node.silent_s for node in nodes if node.report.hall == hall]
-    still = [_still_for_s(h.upstream.id, loads, lost) for h in heads]
-    return HallSigns(
+    still = [_stalled_for_s(h.upstream.id, loads, lost) for h in heads]
+    return HallHealth(
         hall,
         len(heads),
-        sum(_is_moving(h.upstream.id, loads) for h in heads),
-        sum(seconds >= HEADS_STILL_S for seconds in still),
-        sum(seconds >= HEADS_ALONE_S for seconds in still),
+        sum(_is_progressing(h.upstream.id, loads) for h in heads),
+        sum(seconds >= STALLED_HEAD_S for seconds in still),
+        sum(seconds >= LONG_STALLED_HEAD_S for seconds in still),
         len(there),
         min(there, default=float("inf")),
     )
 
 
-def _still_for_s(head: str, loads: dict[str, LoadReport], lost: set[str]) -> float:
+def _stalled_for_s(head: str, loads: dict[str, LoadReport], lost: set[str]) -> float:
     """Return for how long requests at a head have stood still; 0 without any."""
     if head in lost:
         return float("inf")
@@ -282,19 +284,19 @@
     return load.stalled_s if load is not None and load.running else 0.0
 
 
-def _is_moving(head: str, loads: dict[str, LoadReport]) -> bool:
+def _is_progressing(head: str, loads: dict[str, LoadReport]) -> bool:
     load = loads.get(head)
-    return load is not None and load.silent_s < HEADS_STILL_S
+    return load is not None and load.silent_s < STALLED_HEAD_S
 
 
-def failed_halls(signs: list[HallSigns], own_hall: str) -> list[HallSigns]:
+def failed_halls(signs: list[HallHealth], own_hall: str) -> list[HallHealth]:
     """Return the halls that have failed, if a third one shows that others haven't.
 
     Examples
     ========
 
-    >>> failed = HallSigns("a", 4, 0, 4, 0, 3, 0.7)
-    >>> own, third = HallSigns("b", 4, 4, 0, 0, 3, 0.0), HallSigns("c", 4, 4, 0, 0, 3, 0.1)
+    >>> failed = HallHealth("a", 4, 0, 4, 0, 3, 0.7)
+    >>> own, third = HallHealth("b", 4, 4, 0, 0, 3, 0.0), HallHealth("c", 4, 4, 0, 0, 3, 0.1)
     >>> [signs.hall for signs in failed_halls([failed, own, third], "b")]
     ['a']
     >>> failed_halls([failed, own], "b")
@@ -304,7 +306,7 @@
     return [found for found in signs if has_third and found.has_failed()]
 
 
-def _may_have_failed(heads: list[Head], nodes: list[HeardNode]) -> bool:
+def _may_have_failed(heads: list[Head], nodes: list[RecentNode]) -> bool:
     """Whether the nodes of some hall are silent, which costs little to see."""
-    alive = {node.report.hall for node in nodes if node.silent_s < NODES_SILENT_S}
+    alive = {node.report.hall for node in nodes if node.silent_s < SILENT_NODES_S}
     return any(head.upstream.hall not in alive for head in heads)
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, replace
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.upstream_following import REINSTATED_S
+from mulleinreach.gateway.known.upstream_following import RELISTING_GRACE_S
 from mulleinreach.gateway.known.upstreams import Group, UpstreamDirectory
-from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_in_name
+from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
-LOST_MEMORY_S = 30.0
+LOST_RETENTION_S = 30.0
 # Retiring takes less; what is older concerns a group that is gone from the list.
-RETIRING_MEMORY_S = 8.0
-SLOW_PACE = 1.6
-PACE_MEMORY_S = 3.0
+RETIRING_RETENTION_S = 8.0
+MAX_NORMAL_PACE = 1.6
+MAX_PACE_AGE_S = 3.0
 # By then the list shows that a head has left its group.
-END_SEEN_S = 1.0
-MAX_END_DOUBLINGS = 4
+END_VISIBLE_S = 1.0
+MAX_END_RETRY_DOUBLINGS = 4
 NEVER = float("-inf")
 
 
@@ -38,16 +38,16 @@
 class RetiringGroup:
     """A group that takes nothing new, and is ended when it has finished its work.
 
-    ``gives_way`` if its hosts are to serve another model.
+    ``yields_hosts`` if its hosts are to serve another model.
     """
 
     head: str
     since: float
-    gives_way: bool = False
+    yields_hosts: bool = False
 
 
 @dataclass(frozen=True)
-class LeftGroup:
+class GroupDeparture:
     """A group, by name and epoch, that a host was told to leave and took the order.
 
     A host that stands in another group takes such an order too, and stays there.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class Forming:
+class PendingFormation:
     """A group, or a standby on its own, that is being formed."""
 
     domain: str
@@ -66,7 +66,7 @@
     is_group: bool
 
 
-class HostBook:
+class HostRegistry:
     """Hosts by id: the list, what hosts reported themselves, and what was found out.
 
     Explanation
@@ -81,41 +81,41 @@
         self._directory = directory
         self._clock = clock
         self._last_model: dict[str, str] = {}
-        self._remembered: dict[str, Upstream] = {}
+        self._ever_listed: dict[str, Upstream] = {}
         self._lost_at: dict[str, float] = {}
         self._paces: dict[str, tuple[float, float]] = {}
         self._cold_until: dict[str, float] = {}
         self._delisted_at: dict[str, float] = {}
-        self._left: dict[str, LeftGroup] = {}
+        self._left: dict[str, GroupDeparture] = {}
         self._heads: dict[tuple[str, int], str] = {}
         self._ended: dict[tuple[str, int], EndedGroup] = {}
         self._missing_since: dict[tuple[str, str], list[float]] = {}
         self._retiring: dict[tuple[str, int], RetiringGroup] = {}
-        self._numbers = itertools.count()
-        self._settled_at = NEVER
-        self.forming: dict[int, Forming] = {}
+        self._forming_ids = itertools.count()
+        self._grace_ends_at = NEVER
+        self.forming: dict[int, PendingFormation] = {}
         self.busy: set[str] = set()
         # Halls of which nothing answers.
         self.down_halls: set[str] = set()
 
     def refresh(self, service: str) -> None:
         """Take in the latest list."""
-        for host, upstream in self._remembered.items():
+        for host, upstream in self._ever_listed.items():
             if upstream.service == service and self._directory.get(host) is None:
                 self._delisted_at.setdefault(host, self._clock.now())
         for upstream in self._directory.of_service(service):
             self._delisted_at.pop(upstream.id, None)
-            self._note_cold(upstream)
-            self._remembered[upstream.id] = upstream
+            self._update_cold_deadline(upstream)
+            self._ever_listed[upstream.id] = upstream
             if upstream.models and not self.is_lost(upstream.id):
                 self._last_model[upstream.id] = upstream.models[0]
             membership = upstream.membership
             if membership is not None and membership.rank == 0:
                 self._heads[upstream.place] = upstream.id
 
-    def _note_cold(self, upstream: Upstream) -> None:
+    def _update_cold_deadline(self, upstream: Upstream) -> None:
         """Note until when a host is cold, as its row told when it was new here."""
-        before = self._remembered.get(upstream.id)
+        before = self._ever_listed.get(upstream.id)
         if before is None or before.cold_s != upstream.cold_s:
             self._cold_until[upstream.id] = self._clock.now() + upstream.cold_s
 
@@ -123,25 +123,25 @@
         """Return for how much longer a host is cold; 0 if it is warm."""
         return max(0.0, self._cold_until.get(host, NEVER) - self._clock.now())
 
-    def take_report(self, report: Upstream, as_of: float) -> bool:
+    def merge_report(self, report: Upstream, as_of: float) -> bool:
         """Take in what a host said itself; returns whether that is news.
 
         An answer shows in any case that the host is there.
         """
-        is_news = self._directory.put_report(report, as_of)
+        is_newer = self._directory.apply_report(report, as_of)
         if not self.is_listed(report.id):
-            self._remembered[report.id] = report
+            self._ever_listed[report.id] = report
         self._lost_at.pop(report.id, None)
         self._paces[report.id] = (report.pace, self._clock.now())
-        return is_news
+        return is_newer
 
-    def note_left(self, host: str, group: Group) -> None:
+    def record_left(self, host: str, group: Group) -> None:
         """Note that a host took our order to leave a group, ahead of its row."""
         now = self._clock.now()
-        self._left[host] = LeftGroup((group.name, group.epoch), now)
+        self._left[host] = GroupDeparture((group.name, group.epoch), now)
         known = self._directory.get(host)
-        if known is not None and stands_in(known, group):
-            self._directory.put_report(replace(known, models=(), membership=None), now)
+        if known is not None and is_member(known, group):
+            self._directory.apply_report(replace(known, models=(), membership=None), now)
 
     def has_left_since(self, host: str, place: tuple[str, int] | None, moment: float) -> bool:
         """Whether a host took an order to leave just this group at or after a moment."""
@@ -151,11 +151,11 @@
     def pace(self, host: str) -> float:
         """Return how many times longer a host's work takes, as it reported lately."""
         pace, reported_at = self._paces.get(host, (1.0, 0.0))
-        return pace if self._clock.now() - reported_at < PACE_MEMORY_S else 1.0
+        return pace if self._clock.now() - reported_at < MAX_PACE_AGE_S else 1.0
 
     def is_slow(self, host: str) -> bool:
         """Whether a host reported lately that its work takes much longer than usual."""
-        return self.pace(host) > SLOW_PACE
+        return self.pace(host) > MAX_NORMAL_PACE
 
     def mark_lost(self, host: str) -> None:
         """Note that a host gives no answer."""
@@ -172,18 +172,18 @@
 
     def lost(self) -> list[str]:
         """Return the upstreams that give no answer, plain ones too."""
-        in_halls = [u for hall in sorted(self.down_halls) for u in self.rows_of_hall(hall)]
-        return list(dict.fromkeys(self.lost_alone() + in_halls))
+        in_halls = [u for hall in sorted(self.down_halls) for u in self.upstreams_in_hall(hall)]
+        return list(dict.fromkeys(self.individually_lost() + in_halls))
 
-    def lost_alone(self) -> list[str]:
+    def individually_lost(self) -> list[str]:
         """Return the hosts that were found to give no answer, each by itself."""
-        oldest = self._clock.now() - LOST_MEMORY_S
+        oldest = self._clock.now() - LOST_RETENTION_S
         self._lost_at = {h: at for h, at in self._lost_at.items() if at > oldest}
         return list(self._lost_at)
 
     # Halls.
 
-    def rows_of_hall(self, hall: str) -> dict[str, Upstream]:
+    def upstreams_in_hall(self, hall: str) -> dict[str, Upstream]:
         """Return the upstreams of a hall that are on the list, by id."""
         whole = self._directory.whole()
         return {u.id: u for u in whole.upstreams if u.hall == hall} if whole else {}
@@ -204,7 +204,7 @@
         What they ran before the loss of power they don't hold any more.
         """
         self.down_halls.discard(hall)
-        for host, upstream in self.rows_of_hall(hall).items():
+        for host, upstream in self.upstreams_in_hall(hall).items():
             self._last_model.pop(host, None)
             if host in back:
                 self._lost_at.pop(host, None)
@@ -222,11 +222,11 @@
         if known is not None or upstream is None or upstream.membership is None:
             return known
         is_joined = upstream.membership.state is not MemberState.JOINING
-        return model_in_name(upstream.membership.group) if is_joined else None
+        return model_of_group(upstream.membership.group) if is_joined else None
 
     def get(self, host: str) -> Upstream | None:
         """Return a host, listed or remembered."""
-        return self._directory.get(host) or self._remembered.get(host)
+        return self._directory.get(host) or self._ever_listed.get(host)
 
     def delisted_for_s(self, host: str) -> float:
         """Return for how long a host has been off the list; 0 if it is on it.
@@ -254,11 +254,11 @@
         """Return all hosts on the list."""
         return self._directory.of_service(service)
 
-    def remembered(self) -> list[Upstream]:
+    def ever_listed(self) -> list[Upstream]:
         """Return all hosts that were ever listed."""
-        return list(self._remembered.values())
+        return list(self._ever_listed.values())
 
-    def note_model(self, host: str, model: str) -> None:
+    def record_model(self, host: str, model: str) -> None:
         """Note the model of a host's latest group."""
         self._last_model[host] = model
 
@@ -270,8 +270,8 @@
 
     def begin_forming(self, domain: str, model: str, is_group: bool) -> int:
         """Note that a group is being formed; returns its number."""
-        number = next(self._numbers)
-        self.forming[number] = Forming(domain, model, is_group)
+        number = next(self._forming_ids)
+        self.forming[number] = PendingFormation(domain, model, is_group)
         return number
 
     def end_forming(self, number: int) -> None:
@@ -288,18 +288,18 @@
         tries = 1 if known is None else known.tries + 1
         self._ended[key] = EndedGroup(self._clock.now(), left, tries)
 
-    def begin_retiring(self, key: tuple[str, int], head: str, gives_way: bool = False) -> None:
+    def begin_retiring(self, key: tuple[str, int], head: str, yields_hosts: bool = False) -> None:
         """Let a group finish its work and take nothing new."""
-        self._retiring[key] = RetiringGroup(head, self._clock.now(), gives_way)
+        self._retiring[key] = RetiringGroup(head, self._clock.now(), yields_hosts)
 
-    def gives_way(self, key: tuple[str, int]) -> bool:
+    def yields_hosts(self, key: tuple[str, int]) -> bool:
         """Whether a group is being ended so that its hosts may serve another model."""
         retiring = self._retiring.get(key)
-        return retiring is not None and retiring.gives_way
+        return retiring is not None and retiring.yields_hosts
 
-    def end_moves(self) -> None:
+    def cancel_moves(self) -> None:
         """Let groups that were to give way serve on, since no more orders can be given."""
-        self._retiring = {key: r for key, r in self._retiring.items() if not r.gives_way}
+        self._retiring = {key: r for key, r in self._retiring.items() if not r.yields_hosts}
 
     def retiring_for_s(self, key: tuple[str, int]) -> float | None:
         """Return for how long a group has taken nothing new, or ``None``."""
@@ -308,7 +308,7 @@
 
     def retiring_heads(self) -> list[str]:
         """Return the heads of the groups that take nothing new."""
-        oldest = self._clock.now() - RETIRING_MEMORY_S
+        oldest = self._clock.now() - RETIRING_RETENTION_S
         self._retiring = {key: r for key, r in self._retiring.items() if r.since > oldest}
         return [retiring.head for retiring in self._retiring.values()]
 
@@ -320,29 +320,29 @@
 
         is_first_holder : whether nobody has coordinated before.
         """
-        self._settled_at = NEVER if is_first_holder else self._clock.now() + REINSTATED_S
+        self._grace_ends_at = NEVER if is_first_holder else self._clock.now() + RELISTING_GRACE_S
         self.busy.clear()
         self._retiring.clear()
         self._missing_since.clear()
 
-    def is_settling(self) -> bool:
+    def is_in_grace_period(self) -> bool:
         """Whether hosts that are missing may merely have lapsed before this term.
 
         A coordinator that has just begun can't know how long the store was away. Hosts
         that live are back on the list soon after its return.
         """
-        return self._clock.now() < self._settled_at
+        return self._clock.now() < self._grace_ends_at
 
-    def note_missing_group(self, domain: str, model: str) -> None:
+    def record_missing_group(self, domain: str, model: str) -> None:
         """Note that a group that served is ended."""
         self._missing_since.setdefault((domain, model), []).append(self._clock.now())
 
-    def take_missing_s(self, domain: str, model: str) -> float | None:
+    def pop_missing_s(self, domain: str, model: str) -> float | None:
         """Return for how long the group that one just opened stands for was missing."""
         since = self._missing_since.get((domain, model))
         return self._clock.now() - since.pop(0) if since else None
 
-    def revive(self, key: tuple[str, int]) -> bool:
+    def cancel_end(self, key: tuple[str, int]) -> bool:
         """Forget the end of a group that nobody has left; returns whether that is so."""
         ended = self._ended[key]
         if ended.left is None or ended.left:
@@ -364,14 +364,14 @@
         ended = self._ended.get(key)
         return None if ended is None else self._clock.now() - ended.ended_at
 
-    def may_end_again(self, key: tuple[str, int]) -> bool:
+    def may_retry_end(self, key: tuple[str, int]) -> bool:
         """Whether the end of a group should have shown by now, so that it may be ordered again.
 
         Orders that were taken and change nothing are given ever more rarely.
         """
         ended = self._ended[key]
-        doublings = min(ended.tries - 1, MAX_END_DOUBLINGS)
-        return self._clock.now() - ended.ended_at >= END_SEEN_S * 2**doublings
+        doublings = min(ended.tries - 1, MAX_END_RETRY_DOUBLINGS)
+        return self._clock.now() - ended.ended_at >= END_VISIBLE_S * 2**doublings
 
     def head_of(self, key: tuple[str, int]) -> Upstream | None:
         """Return the head that a group was seen with, listed or not."""
@@ -392,6 +392,6 @@
     return len(group.members) == 1 and not is_serving(group) and group.head is not None
 
 
-def stands_in(host: Upstream, group: Group) -> bool:
+def is_member(host: Upstream, group: Group) -> bool:
     """Whether a host says that it is a member of a group."""
     return host.place == (group.name, group.epoch)
--- a/mulleinreach/gateway/fleet/loads.py
+++ b/mulleinreach/gateway/fleet/loads.py
@@ -7,14 +7,14 @@
 from mulleinreach.common import Clock
 from mulleinreach.gateway.model import EngineProfile
 
-WINDOW_S = 5.0
-SHARE_USED = 0.85
+RATE_WINDOW_S = 5.0
+USABLE_RATE_SHARE = 0.85
 # The share of the loads that may run at a time up to which those begin that nobody waits for;
 # the rest is kept for groups that callers miss.
-STAGING_SHARE = 0.5
+STAGING_SLOT_SHARE = 0.5
 
 
-class LoadGate:
+class WeightLoadLimiter:
     """Counts the loads that run and those that began lately.
 
     Before the first request of a deployment loads are quick and not limited;
@@ -31,18 +31,18 @@
         """Whether one more load may begin now."""
         if not self.is_limited:
             return True
-        oldest = self._clock.now() - WINDOW_S
+        oldest = self._clock.now() - RATE_WINDOW_S
         while self._begun and self._begun[0] < oldest:
             self._begun.popleft()
-        if self._running >= profile.loads_at_once:
+        if self._running >= profile.max_concurrent_loads:
             return False
-        return len(self._begun) + 1 <= profile.loads_per_s * WINDOW_S * SHARE_USED
+        return len(self._begun) + 1 <= profile.loads_per_s * RATE_WINDOW_S * USABLE_RATE_SHARE
 
     def may_stage(self, profile: EngineProfile) -> bool:
         """Whether a load may begin that nobody waits for."""
         if not self.is_limited:
             return True
-        is_idle = self._running < STAGING_SHARE * profile.loads_at_once
+        is_idle = self._running < STAGING_SLOT_SHARE * profile.max_concurrent_loads
         return is_idle and self.may_begin(profile)
 
     def begin(self) -> None:
--- a/mulleinreach/gateway/fleet/moving.py
+++ b/mulleinreach/gateway/fleet/moving.py
@@ -16,30 +16,30 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.fleet.allocation import (
-    MOVES_AT_ONCE,
+    MAX_CONCURRENT_MOVES,
     Move,
-    Work,
+    Workload,
     allocate,
     crowded_models,
-    groups_in_fullest_hall,
+    max_groups_per_hall,
     next_move,
 )
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.planner import DomainView, plan_groups
 from mulleinreach.gateway.model import EngineProfile, Service
 
 # A model has to be crowded for so long before hosts move to it: a group that is under repair
 # is back by then.
-WANTED_S = 1.5
+MIN_WANTED_S = 1.5
 # Hosts of a model that others have just moved to stay for so long: bursts last that long, and
 # a domain that moves there and back serves less than one that stays.
-STAY_S = 10.0
+MOVE_COOLDOWN_S = 10.0
 # A retiring group ends within 3.5 s, joins from staged weights take 1 to 2 s, opening 0.3 s.
-MOVE_S = 8.0
+MOVE_TIMEOUT_S = 8.0
 
 
 @dataclass(frozen=True)
-class _Underway:
+class _PendingMove:
     """A move that was begun, and until when it is waited for."""
 
     move: Move
@@ -52,108 +52,108 @@
         return view.groups.get(self.move.to_model, 0) >= self.move.count
 
 
-class GroupMover:
+class HostRebalancer:
     """Decides how many groups each domain should have, and begins moves where they pay.
 
     Parameters
     ==========
 
-    spares_hall : whether the loss of a whole hall is to be borne.
+    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
     may_begin : whether orders can be given for a while. A move that is cut short by an outage
         of the store leaves hosts that serve nobody until it is back.
     """
 
     def __init__(
         self,
-        spares_hall: bool,
-        hosts: HostBook,
+        tolerates_hall_loss: bool,
+        hosts: HostRegistry,
         may_begin: Callable[[], bool],
         clock: Clock,
         log: EventLog,
     ):
-        self._spares_hall = spares_hall
+        self._tolerates_hall_loss = tolerates_hall_loss
         self._hosts = hosts
         self._may_begin = may_begin
         self._clock = clock
         self._log = log
-        self._underway: dict[str, _Underway] = {}
+        self._pending_moves: dict[str, _PendingMove] = {}
         self._crowded: frozenset[str] = frozenset()
         self._wanted_since: dict[str, float] = {}
         self._moved_at: dict[str, float] = {}
 
     def targets(
-        self, service: Service, views: list[DomainView], places: dict[str, float]
+        self, service: Service, views: list[DomainView], demand: dict[str, float]
     ) -> dict[str, dict[str, int]]:
         """Return how many groups of each model each domain should have.
 
         Parameters
         ==========
 
-        places : what requests of each model hold or wait for; empty while that is unknown.
+        demand : what requests of each model hold or wait for; empty while that is unknown.
         """
         engine = service.engine
-        counted = self._count_moves(views)
-        work = self._work(engine, counted, places)
-        self._crowded = crowded_models(counted, work, self._crowded)
-        work = replace(work, crowded=self._crowded)
-        targets = allocate(counted, engine, work)
+        planned = self._with_pending_moves(views)
+        workload = self._work(engine, planned, demand)
+        self._crowded = crowded_models(planned, workload, self._crowded)
+        workload = replace(workload, crowded=self._crowded)
+        targets = allocate(planned, engine, workload)
         if not self._crowded:
             self._wanted_since.clear()
             return targets
-        while places and self._may_begin() and len(self._underway) < MOVES_AT_ONCE:
-            move = self._next_move(counted, targets, engine, work)
+        while demand and self._may_begin() and len(self._pending_moves) < MAX_CONCURRENT_MOVES:
+            move = self._next_move(planned, targets, engine, workload)
             if move is None:
                 break
-            self._begin(move)
-            counted = self._count_moves(views)
-            work = self._work(engine, counted, places)
-            targets = allocate(counted, engine, work)
+            self._start_move(move)
+            planned = self._with_pending_moves(views)
+            workload = self._work(engine, planned, demand)
+            targets = allocate(planned, engine, workload)
         return targets
 
     def _work(
-        self, engine: EngineProfile, counted: list[DomainView], places: dict[str, float]
-    ) -> Work:
+        self, engine: EngineProfile, planned: list[DomainView], demand: dict[str, float]
+    ) -> Workload:
         """Return what the models have to bear, with a hall in reserve where one may be lost."""
-        hall_groups = groups_in_fullest_hall(counted) if self._spares_hall else {}
-        return Work(engine.slots, places, self._crowded, hall_groups)
+        max_hall_groups = max_groups_per_hall(planned) if self._tolerates_hall_loss else {}
+        return Workload(engine.slots, demand, self._crowded, max_hall_groups)
 
     def end_term(self) -> None:
         """Forget moves under way, whose groups serve on."""
-        self._underway.clear()
+        self._pending_moves.clear()
         self._wanted_since.clear()
 
     def _next_move(
         self,
-        counted: list[DomainView],
+        planned: list[DomainView],
         targets: dict[str, dict[str, int]],
         engine: EngineProfile,
-        work: Work,
+        workload: Workload,
     ) -> Move | None:
         """Return a move that can begin at once and has been wanted for long enough."""
         now = self._clock.now()
-        staying = {model for model, at in self._moved_at.items() if now - at < STAY_S}
-        repaired = [_with_repairs(view, targets[view.name], engine) for view in counted]
-        resting = [view for view in repaired if view.name not in self._underway]
-        move = next_move(repaired, resting, engine, work, staying)
+        cooling_down = {model for model, at in self._moved_at.items() if now - at < MOVE_COOLDOWN_S}
+        repaired = [_with_repairs(view, targets[view.name], engine) for view in planned]
+        resting = [view for view in repaired if view.name not in self._pending_moves]
+        move = next_move(repaired, resting, engine, workload, cooling_down)
         wanted = set() if move is None or not move.is_ready else {move.to_model}
         self._wanted_since = {model: self._wanted_since.get(model, now) for model in wanted}
-        if not wanted or now - self._wanted_since[move.to_model] < WANTED_S:
+        if not wanted or now - self._wanted_since[move.to_model] < MIN_WANTED_S:
             return None
         return move
 
-    def _count_moves(self, views: list[DomainView]) -> list[DomainView]:
+    def _with_pending_moves(self, views: list[DomainView]) -> list[DomainView]:
         """Return domains as they will be once the moves under way are done."""
         now = self._clock.now()
         known = {view.name: view for view in views}
-        self._underway = {
+        self._pending_moves = {
             domain: underway
-            for domain, underway in self._underway.items()
+            for domain, underway in self._pending_moves.items()
             if not underway.is_over(known.get(domain), now)
         }
-        return [self._counted(view) for view in views]
+        return [self._with_pending_move(view) for view in views]
 
-    def _counted(self, view: DomainView) -> DomainView:
-        underway = self._underway.get(view.name)
+    def _with_pending_move(self, view: DomainView) -> DomainView:
+        underway = self._pending_moves.get(view.name)
         if underway is None:
             return view
         move = underway.move
@@ -167,15 +167,15 @@
         }
         return replace(view, groups=groups, serving=serving)
 
-    def _begin(self, move: Move) -> None:
-        self._underway[move.domain] = _Underway(move, self._clock.now() + MOVE_S)
+    def _start_move(self, move: Move) -> None:
+        self._pending_moves[move.domain] = _PendingMove(move, self._clock.now() + MOVE_TIMEOUT_S)
         self._moved_at[move.to_model] = self._clock.now()
         for group in move.ended:
             name, epoch = group.place
             head = self._hosts.head_of(group.place)
             if head is None:
                 continue
-            self._hosts.begin_retiring(group.place, head.id, gives_way=True)
+            self._hosts.begin_retiring(group.place, head.id, yields_hosts=True)
             self._log.event(
                 "group_retiring", group=name, epoch=epoch, why=f"hosts move to {move.to_model}"
             )
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator, JoinOutcome, Outcome
-from mulleinreach.gateway.fleet.hosts import HostBook, is_serving, is_standby
-from mulleinreach.gateway.fleet.loads import LoadGate
-from mulleinreach.gateway.fleet.moving import GroupMover
+from mulleinreach.gateway.fleet.hosts import HostRegistry, is_serving, is_standby
+from mulleinreach.gateway.fleet.loads import WeightLoadLimiter
+from mulleinreach.gateway.fleet.moving import HostRebalancer
 from mulleinreach.gateway.fleet.planner import (
     DomainView,
     FormGroup,
@@ -28,11 +28,11 @@
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
 from mulleinreach.gateway.upstream import MemberState, Upstream
 
-QUICK_JOIN_S = 2.5
-LOAD_PATIENCE = 4.0
-LOAD_PATIENCE_MIN_S = 30.0
+QUICK_JOIN_TIMEOUT_S = 2.5
+LOAD_TIMEOUT_FACTOR = 4.0
+MIN_LOAD_TIMEOUT_S = 30.0
 # Longer than a load of usual weights, so that a host which can't load one costs few orders.
-STAGE_AGAIN_S = 15.0
+STAGE_RETRY_DELAY_S = 15.0
 NEVER = float("-inf")
 
 
@@ -42,32 +42,32 @@
     Parameters
     ==========
 
-    spares_hall : whether the loss of a whole hall is to be borne.
+    tolerates_hall_loss : whether the loss of a whole hall is to be borne.
     evacuated : returns the halls that operators have asked to empty.
     """
 
     def __init__(
         self,
-        spares_hall: bool,
-        hosts: HostBook,
+        tolerates_hall_loss: bool,
+        hosts: HostRegistry,
         operator: GroupOperator,
-        duties: HostDuties,
+        duties: HostTasks,
         evacuated: Callable[[], frozenset[str]],
         clock: Clock,
         log: EventLog,
     ):
-        self._spares_hall = spares_hall
-        self._evacuated = evacuated
+        self._tolerates_hall_loss = tolerates_hall_loss
+        self._evacuated_halls = evacuated
         self._hosts = hosts
         self._operator = operator
-        self._duties = duties
+        self._host_tasks = duties
         self._log = log
-        self.gate = LoadGate(clock)
+        self.load_limiter = WeightLoadLimiter(clock)
         self._clock = clock
         self._usage: dict[str, ModelUsage] = {}
-        self._movers: dict[str, GroupMover] = {}
+        self._rebalancers: dict[str, HostRebalancer] = {}
         # When hosts that were told to load a second model may be told again.
-        self._stage_again_at: dict[str, float] = {}
+        self._stage_retry_at: dict[str, float] = {}
 
     def plan(
         self,
@@ -77,22 +77,22 @@
     ) -> None:
         """Have groups formed where hosts are ready, and standbys loaded where not."""
         usage = self._usage.setdefault(service.name, ModelUsage(self._clock))
-        usage.note(service.engine, open_heads(self._in_use(service.name)), loads)
+        usage.update(service.engine, open_heads(self._placeable_hosts(service.name)), loads)
         views = [
             self._view(service, domain, usable, groups, usage.by_model())
             for domain, usable in sorted(self._usable_by_domain(service.name).items())
         ]
-        closed = self._evacuated()
+        closed = self._evacuated_halls()
         used = [view for view in views if view.hall not in closed]
-        targets = self._mover(service.name).targets(service, used, usage.places())
+        targets = self._rebalancer(service.name).targets(service, used, usage.demand())
         standbys: list[LoadStandby] = []
         for view in used:
-            if self._is_incomplete(service.engine, view.name, groups):
+            if self._has_incomplete_groups(service.engine, view.name, groups):
                 continue
             formed = plan_groups(view, service.engine.models, targets[view.name])
             for plan in formed:
                 self._spawn_form(service.engine, plan)
-            if not formed and not self._hosts.is_settling():
+            if not formed and not self._hosts.is_in_grace_period():
                 standbys += plan_standbys(view, service.engine.models, targets[view.name])
         for plan in sorted(standbys, key=lambda plan: plan.order):
             self._start_standby(service.engine, plan)
@@ -102,13 +102,13 @@
 
     def end_term(self) -> None:
         """Forget what was under way, since no more orders can be given."""
-        for mover in self._movers.values():
-            mover.end_term()
-        self._hosts.end_moves()
+        for rebalancer in self._rebalancers.values():
+            rebalancer.end_term()
+        self._hosts.cancel_moves()
 
-    def _in_use(self, service: str) -> list[Upstream]:
+    def _placeable_hosts(self, service: str) -> list[Upstream]:
         """Return the usable hosts but for those of halls that are to be empty."""
-        evacuated = self._evacuated()
+        evacuated = self._evacuated_halls()
         return [host for host in self._hosts.usable(service) if host.hall not in evacuated]
 
     def _form_in_evacuated(
@@ -123,56 +123,58 @@
         """
         models = service.engine.models
         for view in views:
-            if self._hosts.forming or self._is_incomplete(service.engine, view.name, groups):
+            if self._hosts.forming or self._has_incomplete_groups(
+                service.engine, view.name, groups
+            ):
                 return
             for plan in plan_groups(view, models, target_groups(view, models)):
                 self._spawn_form(service.engine, plan)
 
-    def _mover(self, service: str) -> GroupMover:
+    def _rebalancer(self, service: str) -> HostRebalancer:
         """Return what moves hosts between the models of a service."""
-        if service not in self._movers:
-            self._movers[service] = GroupMover(
-                self._spares_hall,
+        if service not in self._rebalancers:
+            self._rebalancers[service] = HostRebalancer(
+                self._tolerates_hall_loss,
                 self._hosts,
                 self._operator.is_lease_fresh,
                 self._clock,
                 self._log,
             )
-        return self._movers[service]
+        return self._rebalancers[service]
 
     def _stage_second_models(
         self, service: Service, groups: dict[tuple[str, int], Group], need: dict[str, float]
     ) -> None:
         """Have hosts load a second model: all before the first request, then standbys."""
-        usable = self._in_use(service.name)
-        if self.gate.is_limited:
+        usable = self._placeable_hosts(service.name)
+        if self.load_limiter.is_limited:
             hosts = self._free_hosts(usable, groups)
         else:
-            hosts = [self._as_free(host) for host in usable if host.id not in self._hosts.busy]
+            hosts = [self._to_free_host(host) for host in usable if host.id not in self._hosts.busy]
         for plan in plan_stagings(hosts, service.engine.models, need):
             host = self._hosts.get(plan.host)
-            is_settled = host.membership and host.membership.state is not MemberState.JOINING
-            may_ask = self._clock.now() >= self._stage_again_at.get(plan.host, NEVER)
-            if not (may_ask and is_settled):
+            has_joined = host.membership and host.membership.state is not MemberState.JOINING
+            may_ask = self._clock.now() >= self._stage_retry_at.get(plan.host, NEVER)
+            if not (may_ask and has_joined):
                 continue
-            if not self.gate.may_stage(service.engine):
+            if not self.load_limiter.may_stage(service.engine):
                 return
-            self._stage_again_at[plan.host] = math.inf
-            self.gate.begin()
-            self._duties.spawn(self._stage(service.engine, plan, host), [])
+            self._stage_retry_at[plan.host] = math.inf
+            self.load_limiter.begin()
+            self._host_tasks.spawn(self._stage(service.engine, plan, host), [])
 
     async def _stage(self, engine: EngineProfile, plan: StageModel, host: Upstream) -> None:
         try:
-            await self._operator.stage(host, plan.model, _load_patience_s(engine, plan.model))
+            await self._operator.stage(host, plan.model, _load_timeout_s(engine, plan.model))
         finally:
-            self.gate.end()
-            self._stage_again_at[plan.host] = self._clock.now() + STAGE_AGAIN_S
+            self.load_limiter.end()
+            self._stage_retry_at[plan.host] = self._clock.now() + STAGE_RETRY_DELAY_S
 
-    def _is_incomplete(
+    def _has_incomplete_groups(
         self, engine: EngineProfile, domain: str, groups: dict[tuple[str, int], Group]
     ) -> bool:
         """Whether hosts of a domain's groups may be missing from the list for a moment only."""
-        if not self._hosts.is_settling():
+        if not self._hosts.is_in_grace_period():
             return False
         for group in groups.values():
             model = engine.model(group.model) if group.model else None
@@ -204,11 +206,11 @@
             head = group.head
             if head is None or head.domain != domain or group.model not in counts:
                 continue
-            if self._hosts.gives_way(key):
+            if self._hosts.yields_hosts(key):
                 continue
             if is_serving(group) and not self._hosts.has_lost_member(group):
                 counts[group.model] += 1
-                members = tuple(self._as_free(member) for member in group.members.values())
+                members = tuple(self._to_free_host(member) for member in group.members.values())
                 serving.append(ServingGroup(group.model, key, members))
         for form in self._hosts.forming.values():
             if form.domain == domain and form.model in counts:
@@ -223,10 +225,10 @@
         free = []
         for host in usable:
             if host.id not in self._hosts.busy and self._is_free(host, groups):
-                free.append(self._as_free(host))
+                free.append(self._to_free_host(host))
         return free
 
-    def _as_free(self, host: Upstream) -> FreeHost:
+    def _to_free_host(self, host: Upstream) -> FreeHost:
         model, is_slow = self._hosts.last_model(host.id), self._hosts.is_slow(host.id)
         return FreeHost(host.id, model, host.staged, is_slow, self._hosts.cold_s(host.id))
 
@@ -251,7 +253,7 @@
     def _spawn_form(self, engine: EngineProfile, plan: FormGroup) -> None:
         members = [self._hosts.get(host) for host in plan.members]
         form = self._hosts.begin_forming(members[0].domain, plan.model, is_group=True)
-        self._duties.spawn(self._form(engine, plan, members, form), members)
+        self._host_tasks.spawn(self._form(engine, plan, members, form), members)
 
     async def _form(
         self, engine: EngineProfile, plan: FormGroup, members: list[Upstream], form: int
@@ -259,17 +261,17 @@
         try:
             is_warm = all(self._hosts.last_model(m.id) == plan.model for m in members)
             model = engine.model(plan.model)
-            patience_s = QUICK_JOIN_S if is_warm else QUICK_JOIN_S + 2 * model.warm_s
-            group, outcome = await self._operator.join_all(plan.model, members, patience_s)
+            timeout_s = QUICK_JOIN_TIMEOUT_S if is_warm else QUICK_JOIN_TIMEOUT_S + 2 * model.warm_s
+            group, outcome = await self._operator.join_all(plan.model, members, timeout_s)
             if outcome is JoinOutcome.NOT_READY:
                 self._hosts.mark_ended(group, await self._operator.dissolve(group))
             if outcome is not JoinOutcome.READY:
                 return
             for member in members:
-                self._hosts.note_model(member.id, plan.model)
+                self._hosts.record_model(member.id, plan.model)
             if await self._operator.open(group) is Outcome.DONE:
-                self._operator.note_repair(
-                    self._hosts.take_missing_s(members[0].domain, plan.model)
+                self._operator.record_repair(
+                    self._hosts.pop_missing_s(members[0].domain, plan.model)
                 )
             else:
                 self._log.event("group_not_opened", group=group.name)
@@ -277,30 +279,30 @@
             self._hosts.end_forming(form)
 
     def _start_standby(self, engine: EngineProfile, plan: LoadStandby) -> None:
-        if plan.needs_load and not self.gate.may_begin(engine):
+        if plan.needs_load and not self.load_limiter.may_begin(engine):
             return
         host = self._hosts.get(plan.host)
         if host is None:
             return
         if plan.needs_load:
-            self.gate.begin()
+            self.load_limiter.begin()
         form = self._hosts.begin_forming(host.domain, plan.model, is_group=False)
-        self._duties.spawn(self._load_standby(engine, plan, host, form), [host])
+        self._host_tasks.spawn(self._load_standby(engine, plan, host, form), [host])
 
     async def _load_standby(
         self, engine: EngineProfile, plan: LoadStandby, host: Upstream, form: int
     ) -> None:
         try:
-            patience_s = _load_patience_s(engine, plan.model)
-            _, outcome = await self._operator.join_all(plan.model, [host], patience_s)
+            timeout_s = _load_timeout_s(engine, plan.model)
+            _, outcome = await self._operator.join_all(plan.model, [host], timeout_s)
             if outcome is JoinOutcome.READY:
-                self._hosts.note_model(host.id, plan.model)
+                self._hosts.record_model(host.id, plan.model)
         finally:
             if plan.needs_load:
-                self.gate.end()
+                self.load_limiter.end()
             self._hosts.end_forming(form)
 
 
-def _load_patience_s(engine: EngineProfile, model: str) -> float:
+def _load_timeout_s(engine: EngineProfile, model: str) -> float:
     """Return how long to wait at most until a host has loaded a model."""
-    return max(LOAD_PATIENCE_MIN_S, LOAD_PATIENCE * engine.model(model).load_s)
+    return max(MIN_LOAD_TIMEOUT_S, LOAD_TIMEOUT_FACTOR * engine.model(model).load_s)
--- a/mulleinreach/gateway/fleet/planner.py
+++ b/mulleinreach/gateway/fleet/planner.py
@@ -21,12 +21,12 @@
 STANDBYS_PER_MODEL = 1
 # How many hosts may still be missing to a group that is worth waiting for: so few are back
 # soon after a loss, and standbys for more would be missed by the groups that callers have.
-HOSTS_SOON = 2
+MAX_MISSING_HOSTS = 2
 # Below this share of places in use, models don't differ in what they need. Above the second
 # one, the loss of a group makes requests wait. Planning by usage is worth 0.014 of a day's
 # worth on a site whose groups are lost in turn (ten days), and nothing measurable on another.
-LEAST_USAGE = 0.25
-FULL_USAGE = 0.7
+MIN_PLANNED_USAGE = 0.25
+HIGH_USAGE = 0.7
 
 
 @dataclass(frozen=True)
@@ -131,22 +131,24 @@
     {'a': 0, 'b': 2}
     """
     targets = {model.name: view.groups.get(model.name, 0) for model in models}
-    room = view.hosts - sum(targets[model.name] * model.size for model in models)
+    spare_hosts = view.hosts - sum(targets[model.name] * model.size for model in models)
     while fitting := [
-        model for model in models if model.size <= room - _kept(view, targets, model)
+        model
+        for model in models
+        if model.size <= spare_hosts - _reserved_hosts(view, targets, model)
     ]:
         neediest = max(fitting, key=lambda m: _need(view, m) / (targets[m.name] + 0.5))
         targets[neediest.name] += 1
-        room -= neediest.size
+        spare_hosts -= neediest.size
     return targets
 
 
-def _kept(view: DomainView, targets: dict[str, int], model: EngineModel) -> int:
+def _reserved_hosts(view: DomainView, targets: dict[str, int], model: EngineModel) -> int:
     """Return how many hosts a further group of a model has to leave for standbys.
 
     Hosts serve better than they wait: none where nearly all places of the model are taken.
     """
-    if targets[model.name] == 0 or view.usage.get(model.name, 0.0) > FULL_USAGE:
+    if targets[model.name] == 0 or view.usage.get(model.name, 0.0) > HIGH_USAGE:
         return 0
     return STANDBYS_PER_MODEL * len(targets)
 
@@ -159,7 +161,7 @@
     """
     if not view.usage:
         return model.share / model.size
-    return max(view.usage.get(model.name, 0.0), LEAST_USAGE) ** 2
+    return max(view.usage.get(model.name, 0.0), MIN_PLANNED_USAGE) ** 2
 
 
 def target_standbys(
@@ -180,12 +182,14 @@
     >>> target_standbys(view, {"a": 1, "b": 1}, models)
     {'a': 0, 'b': 1}
     """
-    room = view.hosts - sum(targets[model.name] * model.size for model in models)
+    spare_hosts = view.hosts - sum(targets[model.name] * model.size for model in models)
     standbys = {model.name: 0 for model in models}
     # A standby is of use to groups of its own domain, and to one that lacks a host or two.
-    served = [m for m in models if targets[m.name] or m.size - room <= HOSTS_SOON] or list(models)
+    served = [
+        m for m in models if targets[m.name] or m.size - spare_hosts <= MAX_MISSING_HOSTS
+    ] or list(models)
     by_worth = sorted(served, key=lambda m: -m.size * (_need(view, m) if view.usage else 1))
-    for number in range(max(0, room)):
+    for number in range(max(0, spare_hosts)):
         standbys[by_worth[number % len(by_worth)].name] += 1
     return standbys
 
