--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -9,13 +9,18 @@
 
 from mulleinreach.common import EventLog, VirtualClock
 from mulleinreach.gateway.fleet.allocation import (
-    Work,
+    Workload,
     allocate,
     crowded_models,
     next_move,
 )
-from mulleinreach.gateway.fleet.hosts import HostBook
-from mulleinreach.gateway.fleet.moving import MOVE_S, STAY_S, WANTED_S, GroupMover
+from mulleinreach.gateway.fleet.hosts import HostRegistry
+from mulleinreach.gateway.fleet.moving import (
+    MIN_WANTED_S,
+    MOVE_COOLDOWN_S,
+    MOVE_TIMEOUT_S,
+    HostRebalancer,
+)
 from mulleinreach.gateway.fleet.planner import DomainView, FreeHost, ServingGroup
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
@@ -50,34 +55,34 @@
     return [_domain(f"d{n}", f"hall-{n % 3}", **options) for n in range(6)]
 
 
-def _work(
-    places: dict[str, float], views: list[DomainView], before: frozenset[str] = frozenset()
-) -> Work:
-    work = Work(ENGINE.slots, places)
-    return replace(work, crowded=crowded_models(views, work, before))
+def _workload(
+    demand: dict[str, float], views: list[DomainView], before: frozenset[str] = frozenset()
+) -> Workload:
+    workload = Workload(ENGINE.slots, demand)
+    return replace(workload, crowded=crowded_models(views, workload, before))
 
 
-def _moves(views: list[DomainView], places: dict[str, float]) -> list[str]:
+def _moves(views: list[DomainView], demand: dict[str, float]) -> list[str]:
     """Return the domains that move one after the other until no move is worth it."""
-    work, moved = _work(places, views), []
-    while (move := next_move(views, views, ENGINE, work)) is not None:
+    workload, moved = _workload(demand, views), []
+    while (move := next_move(views, views, ENGINE, workload)) is not None:
         moved.append(move.domain)
         (view,) = [view for view in views if view.name == move.domain]
         counts = {"large": view.groups[LARGE], "small": view.groups[SMALL]}
         counts[move.from_model] -= len(move.ended)
         counts[move.to_model] = move.count
         views[views.index(view)] = _domain(view.name, view.hall, **counts)
-        work = _work(places, views, work.crowded)
+        workload = _workload(demand, views, workload.crowded)
         assert len(moved) <= MANY_MOVES
     return moved
 
 
-def test_domains_move_to_the_crowded_model_until_it_is_crowded_no_more():
+def test_domains_move_to_the_crowded_model_until_it_is_relieved():
     moved = _moves(_domains(), FEW_LARGE_MANY_SMALL)
     assert 2 <= len(moved) <= 3
 
 
-def test_groups_that_are_left_stand_in_all_halls():
+def test_remaining_groups_cover_all_halls():
     views = _domains()
     _moves(views, FEW_LARGE_MANY_SMALL)
     assert {view.hall for view in views if view.groups[LARGE]} == {"hall-0", "hall-1", "hall-2"}
@@ -99,66 +104,70 @@
     views = [_domain("unready", "hall-0", staged=LARGE), _domain("ready", "hall-1")] + _domains()[
         2:
     ]
-    move = next_move(views, views[:2], ENGINE, _work(FEW_LARGE_MANY_SMALL, views))
+    move = next_move(views, views[:2], ENGINE, _workload(FEW_LARGE_MANY_SMALL, views))
     assert (move.domain, move.is_ready) == ("ready", True)
 
 
-def test_lost_group_is_formed_anew_as_the_crowded_model_needs_it():
+def test_hosts_of_a_lost_group_go_to_the_crowded_model():
     views = [_domain("d0", "hall-0", large=0)] + _domains()[1:]
-    crowded = allocate(views, ENGINE, _work(FEW_LARGE_MANY_SMALL, views))
+    crowded = allocate(views, ENGINE, _workload(FEW_LARGE_MANY_SMALL, views))
     assert crowded["d0"] == {LARGE: 0, SMALL: 4}
-    even = allocate(views, ENGINE, _work(EVEN, views))
+    even = allocate(views, ENGINE, _workload(EVEN, views))
     assert even["d0"] == {LARGE: 1, SMALL: 2}
 
 
 def test_model_that_has_nearly_lost_all_groups_is_formed_first():
     views = [_domain(f"d{n}", "hall", large=0, small=0) for n in range(2)]
-    targets = allocate(views, ENGINE, _work({LARGE: 0.5, SMALL: 190.0}, views))
+    targets = allocate(views, ENGINE, _workload({LARGE: 0.5, SMALL: 190.0}, views))
     assert sum(target[LARGE] for target in targets.values()) >= 1
 
 
 def test_crowded_model_goes_before_one_that_has_more_groups_and_no_requests():
     views = [_domain("d0", "hall", large=0, small=1), _domain("d1", "hall", large=1, small=1)]
-    targets = allocate(views, ENGINE, _work({LARGE: 15.0, SMALL: 0.0}, views))
+    targets = allocate(views, ENGINE, _workload({LARGE: 15.0, SMALL: 0.0}, views))
     assert targets["d0"][LARGE] == 1
 
 
-def _mover(clock: VirtualClock, may_begin: bool = True, spares_hall: bool = False) -> GroupMover:
-    hosts = HostBook(UpstreamDirectory(), clock)
-    return GroupMover(spares_hall, hosts, lambda: may_begin, clock, EventLog("test"))
+def _rebalancer(
+    clock: VirtualClock, may_begin: bool = True, tolerates_hall_loss: bool = False
+) -> HostRebalancer:
+    hosts = HostRegistry(UpstreamDirectory(), clock)
+    return HostRebalancer(tolerates_hall_loss, hosts, lambda: may_begin, clock, EventLog("test"))
 
 
-def _begun(mover: GroupMover, views: list[DomainView], places: dict[str, float]) -> set[str]:
+def _domains_with_moves(
+    rebalancer: HostRebalancer, views: list[DomainView], demand: dict[str, float]
+) -> set[str]:
     """Return the domains whose targets differ from what they have."""
-    targets = mover.targets(SERVICE, views, places)
+    targets = rebalancer.targets(SERVICE, views, demand)
     return {view.name for view in views if targets[view.name] != view.groups}
 
 
 def test_move_begins_only_after_it_has_been_wanted_for_a_while():
     async def test():
-        mover = _mover(VirtualClock())
-        assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
-        await asyncio.sleep(WANTED_S / 2)
-        assert _begun(mover, _domains(), EVEN) == set()
-        await asyncio.sleep(WANTED_S)
-        assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
-        await asyncio.sleep(WANTED_S)
-        assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL)
+        rebalancer = _rebalancer(VirtualClock())
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        await asyncio.sleep(MIN_WANTED_S / 2)
+        assert _domains_with_moves(rebalancer, _domains(), EVEN) == set()
+        await asyncio.sleep(MIN_WANTED_S)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        await asyncio.sleep(MIN_WANTED_S)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
 
     run_virtual(test())
 
 
 def test_no_move_begins_while_the_lease_can_not_be_renewed():
     async def test():
-        mover = _mover(VirtualClock(), may_begin=False)
+        rebalancer = _rebalancer(VirtualClock(), may_begin=False)
         for _ in range(20):
-            assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
-            await asyncio.sleep(WANTED_S)
+            assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
+            await asyncio.sleep(MIN_WANTED_S)
 
     run_virtual(test())
 
 
-def test_groups_that_were_to_give_way_serve_on_once_no_orders_can_be_given():
+def test_groups_retiring_for_a_move_serve_again_when_the_lease_is_lost():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -166,7 +175,9 @@
         running = [asyncio.create_task(world.stream(150)) for _ in range(8)]
         await asyncio.sleep(0.3)
         head = coordinator.chooser.heads(MODEL_SERVICE, LARGE)[0]
-        coordinator.hosts.begin_retiring((head.group, head.epoch), head.upstream.id, gives_way=True)
+        coordinator.hosts.begin_retiring(
+            (head.group, head.epoch), head.upstream.id, yields_hosts=True
+        )
         await asyncio.sleep(0.3)
         assert world.open_groups(LARGE) == 1
         world.store.is_down = True
@@ -179,26 +190,26 @@
 
 
 @pytest.mark.parametrize("spares_hall", [False, True])
-def test_crowded_model_gets_more_groups_where_a_whole_hall_may_be_lost(spares_hall):
+def test_crowded_model_gets_more_groups_where_a_whole_hall_may_be_lost(tolerates_hall_loss):
     async def test():
-        mover = _mover(VirtualClock(), spares_hall=spares_hall)
+        rebalancer = _rebalancer(VirtualClock(), tolerates_hall_loss=tolerates_hall_loss)
         views = [_domain(f"d{n}", f"hall-{n % 3}") for n in range(12)]
-        places = {LARGE: 120.0, SMALL: 400.0}
-        mover.targets(SERVICE, views, places)
-        await asyncio.sleep(WANTED_S)
-        assert bool(_begun(mover, views, places)) is spares_hall
+        demand = {LARGE: 120.0, SMALL: 400.0}
+        rebalancer.targets(SERVICE, views, demand)
+        await asyncio.sleep(MIN_WANTED_S)
+        assert bool(_domains_with_moves(rebalancer, views, demand)) is tolerates_hall_loss
 
     run_virtual(test())
 
 
 def test_moves_of_a_term_that_has_ended_are_forgotten():
     async def test():
-        mover = _mover(VirtualClock())
-        mover.targets(SERVICE, _domains(), FEW_LARGE_MANY_SMALL)
-        await asyncio.sleep(WANTED_S)
-        assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL)
-        mover.end_term()
-        assert _begun(mover, _domains(), FEW_LARGE_MANY_SMALL) == set()
+        rebalancer = _rebalancer(VirtualClock())
+        rebalancer.targets(SERVICE, _domains(), FEW_LARGE_MANY_SMALL)
+        await asyncio.sleep(MIN_WANTED_S)
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL)
+        rebalancer.end_term()
+        assert _domains_with_moves(rebalancer, _domains(), FEW_LARGE_MANY_SMALL) == set()
 
     run_virtual(test())
 
@@ -207,13 +218,13 @@
     async def test(world):
         await world.until_formed()
         placement = world.nodes[world.coordinator()].controller._placement
-        first, second = placement._mover("first"), placement._mover("second")
-        assert placement._mover("first") is first
+        first, second = placement._rebalancer("first"), placement._rebalancer("second")
+        assert placement._rebalancer("first") is first
         views = _domains()
         for _ in range(2):
             second.targets(SERVICE, [], {LARGE: 1.0})
             targets = first.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
-            await asyncio.sleep(WANTED_S)
+            await asyncio.sleep(MIN_WANTED_S)
         targets = first.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
         second.targets(SERVICE, [], {LARGE: 1.0})
         assert any(targets[view.name] != view.groups for view in views)
@@ -222,55 +233,55 @@
     run_world(test, nodes=1)
 
 
-def test_hosts_that_have_moved_stay_for_a_while():
+def test_moved_hosts_stay_for_the_cooldown():
     async def test():
-        mover = _mover(VirtualClock())
+        rebalancer = _rebalancer(VirtualClock())
         views = [_domain(f"d{n}", "hall", large=0, small=4) for n in range(3)]
         views += [_domain(f"e{n}", "hall") for n in range(5)]
-        mover.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
-        await asyncio.sleep(WANTED_S)
-        await asyncio.sleep(MOVE_S)
+        rebalancer.targets(SERVICE, views, FEW_LARGE_MANY_SMALL)
+        await asyncio.sleep(MIN_WANTED_S)
+        await asyncio.sleep(MOVE_TIMEOUT_S)
         many_large = {LARGE: 200.0, SMALL: 20.0}
-        mover._moved_at[SMALL] = asyncio.get_running_loop().time()
-        mover.targets(SERVICE, views, many_large)
-        await asyncio.sleep(WANTED_S)
-        assert _begun(mover, views, many_large) == set()
-        await asyncio.sleep(STAY_S)
-        mover.targets(SERVICE, views, many_large)
-        await asyncio.sleep(WANTED_S)
-        assert _begun(mover, views, many_large)
+        rebalancer._moved_at[SMALL] = asyncio.get_running_loop().time()
+        rebalancer.targets(SERVICE, views, many_large)
+        await asyncio.sleep(MIN_WANTED_S)
+        assert _domains_with_moves(rebalancer, views, many_large) == set()
+        await asyncio.sleep(MOVE_COOLDOWN_S)
+        rebalancer.targets(SERVICE, views, many_large)
+        await asyncio.sleep(MIN_WANTED_S)
+        assert _domains_with_moves(rebalancer, views, many_large)
 
     run_virtual(test())
 
 
-def test_hosts_that_have_moved_give_way_to_a_model_that_is_down_to_its_reserve():
+def test_moved_hosts_move_again_to_a_model_that_is_down_to_its_reserve():
     views = [_domain(f"d{n}", "hall", large=0, small=4) for n in range(4)]
     views += [_domain(f"e{n}", "hall", large=1, small=2) for n in range(2)]
-    work = _work({LARGE: 40.0, SMALL: 100.0}, views)
-    move = next_move(views, views, ENGINE, work, staying={SMALL})
+    workload = _workload({LARGE: 40.0, SMALL: 100.0}, views)
+    move = next_move(views, views, ENGINE, workload, cooling_down={SMALL})
     assert (move.from_model, move.to_model) == (SMALL, LARGE)
     views[0] = _domain("d0", "hall", large=1, small=2)
-    work = _work({LARGE: 60.0, SMALL: 100.0}, views)
-    assert next_move(views, views, ENGINE, work, staying={SMALL}) is None
-    assert next_move(views, views, ENGINE, work) is not None
+    workload = _workload({LARGE: 60.0, SMALL: 100.0}, views)
+    assert next_move(views, views, ENGINE, workload, cooling_down={SMALL}) is None
+    assert next_move(views, views, ENGINE, workload) is not None
 
 
-def test_group_under_repair_is_not_taken_for_missing():
+def test_group_under_repair_is_not_counted_as_missing():
     async def test():
-        mover = _mover(VirtualClock())
+        rebalancer = _rebalancer(VirtualClock())
         whole = _domains()
         small = {LARGE: 40.0, SMALL: 10.0}
         lost = _domain("d0", "hall-0", large=0)
         lost = replace(lost, free=_hosts(12, LARGE, SMALL))
         views = [lost, *whole[1:]]
-        mover.targets(SERVICE, views, small)
-        await asyncio.sleep(WANTED_S)
-        assert _begun(mover, views, small) == {"d0"}
+        rebalancer.targets(SERVICE, views, small)
+        await asyncio.sleep(MIN_WANTED_S)
+        assert _domains_with_moves(rebalancer, views, small) == {"d0"}
 
     run_virtual(test())
 
 
-def test_crowded_model_is_served_by_more_groups_and_nobody_is_cut():
+def test_crowded_model_gets_more_groups_and_no_stream_is_cut():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(5)
--- a/mulleinreach/gateway/fleet/tests/test_draining.py
+++ b/mulleinreach/gateway/fleet/tests/test_draining.py
@@ -11,30 +11,30 @@
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
 # Events of a stream come every 0.04 s.
-TWO_SECONDS = 50
+EVENTS_IN_TWO_SECONDS = 50
 
 
 @pytest.mark.parametrize("rank", [0, 2])
-def test_streams_of_a_group_with_a_draining_member_end_where_they_began(rank):
+def test_streams_of_a_group_with_a_draining_member_finish_there(rank):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = [asyncio.create_task(world.stream(TWO_SECONDS)) for _ in range(12)]
+        asking = [asyncio.create_task(world.stream(EVENTS_IN_TWO_SECONDS)) for _ in range(12)]
         await asyncio.sleep(0.5)
         leaving = member_of(world, LARGE, rank)
         leaving.drain()
         answers = await asyncio.gather(*asking)
-        assert all(len(answer.event_ids) == TWO_SECONDS for answer in answers)
+        assert all(len(answer.event_ids) == EVENTS_IN_TWO_SECONDS for answer in answers)
         assert all(len(hosts) == 1 for hosts in world.fabric.checks.runs.values())
 
     run_world(test)
 
 
-def test_group_with_a_draining_member_is_formed_anew_without_it():
+def test_group_with_a_draining_member_is_formed_again_without_it():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(world.stream(TWO_SECONDS))
+        asking = asyncio.create_task(world.stream(EVENTS_IN_TWO_SECONDS))
         await asyncio.sleep(0.3)
         leaving = member_of(world, LARGE, rank=1)
         head = leaving.standing.members[0]
@@ -53,7 +53,7 @@
     run_world(test)
 
 
-def test_stream_without_an_end_does_not_keep_a_draining_member():
+def test_endless_stream_does_not_hold_a_draining_member():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -72,7 +72,7 @@
     run_world(test)
 
 
-def test_head_of_a_retiring_group_that_is_gone_is_not_shunned_for_good():
+def test_head_of_a_retiring_group_that_is_gone_is_not_excluded_forever():
     async def test(world):
         await world.until_formed()
         hosts = world.nodes[world.coordinator()].hosts
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -13,11 +13,11 @@
 )
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Group
-from mulleinreach.gateway.tests.support import keep_asking, run_world
+from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.standins.gateway.hosts import HostTimes
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL, GatewayWorld
 
-REPAIR_S = 1.3
+MAX_REPAIR_S = 1.3
 
 
 def member_of(world: GatewayWorld, model: str, rank: int):
@@ -38,16 +38,16 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         victim = member_of(world, LARGE, rank=2)
         head = victim.standing.members[0]
-        dying = asyncio.create_task(victim.die())
+        failing = asyncio.create_task(victim.die())
         await world.until(lambda: not _serves(world, head, victim.id))
         taken_s = await world.until(lambda: world.open_groups(LARGE) == 2)
-        asking.cancel()
-        await dying
-        assert taken_s < REPAIR_S
+        traffic.cancel()
+        await failing
+        assert taken_s < MAX_REPAIR_S
 
     run_world(test)
 
@@ -57,18 +57,18 @@
     return standing is not None and lost in standing.members
 
 
-def test_lost_head_has_its_members_leave_before_they_join_anew():
+def test_lost_head_has_its_members_leave_before_they_join_again():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, SMALL))
+        traffic = asyncio.create_task(request_streams_forever(world, SMALL))
         await asyncio.sleep(1)
         head = member_of(world, SMALL, rank=0)
-        dying = asyncio.create_task(head.die())
-        await asyncio.sleep(REPAIR_S)
+        failing = asyncio.create_task(head.die())
+        await asyncio.sleep(MAX_REPAIR_S)
         await world.until(lambda: world.open_groups(SMALL) == 2, timeout_s=4)
-        asking.cancel()
-        await dying
+        traffic.cancel()
+        await failing
 
     run_world(test)
 
@@ -85,7 +85,7 @@
     run_world(test)
 
 
-def test_late_orders_break_nothing():
+def test_delayed_orders_are_harmless():
     async def test(world):
         for host in list(world.fabric.hosts.values())[::2]:
             host.late_orders = 2
@@ -96,7 +96,7 @@
     run_world(test)
 
 
-def test_killed_coordinator_is_followed_at_once():
+def test_killed_coordinator_is_replaced_at_once():
     async def test(world):
         await world.until_formed()
         old = world.coordinator()
@@ -108,7 +108,7 @@
     run_world(test, nodes=3)
 
 
-def test_new_coordinator_leaves_what_serves_alone():
+def test_new_coordinator_keeps_serving_groups():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -120,7 +120,7 @@
     run_world(test, nodes=3)
 
 
-def test_silent_coordinator_is_followed_when_its_lease_has_lapsed():
+def test_unreachable_coordinator_is_replaced_after_its_lease_expires():
     async def test(world):
         await world.until_formed()
         old = world.coordinator()
@@ -143,13 +143,13 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, SMALL))
+        traffic = asyncio.create_task(request_streams_forever(world, SMALL))
         for _ in range(2):
             await asyncio.sleep(1)
-            dying = asyncio.create_task(member_of(world, SMALL, rank=1).die())
+            failing = asyncio.create_task(member_of(world, SMALL, rank=1).die())
             await asyncio.sleep(3)
-            await dying
-        asking.cancel()
+            await failing
+        traffic.cancel()
         assert world.open_groups(SMALL) == 1
 
     run_world(test, domains=1)
@@ -164,7 +164,7 @@
     run_world(test)
 
 
-def test_node_that_does_not_know_the_secret_is_not_heard():
+def test_reports_without_the_secret_are_rejected():
     async def test(world):
         await world.until_formed()
         coordinator = world.nodes[world.coordinator()]
@@ -196,17 +196,17 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
-        dying = asyncio.create_task(member_of(world, LARGE, rank=2).die())
+        failing = asyncio.create_task(member_of(world, LARGE, rank=2).die())
         await asyncio.sleep(after_s)
-        asking.cancel()
+        traffic.cancel()
         await world.kill_node(world.coordinator())
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(4)
         await world.until(lambda: world.open_groups(LARGE) == 2, timeout_s=8)
-        asking.cancel()
-        await dying
+        traffic.cancel()
+        await failing
 
     run_world(test, nodes=3)
 
@@ -215,12 +215,12 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         slow = member_of(world, LARGE, rank=2)
         slow.pace = 12.0
         await world.until(lambda: not _is_used(world, slow), timeout_s=6)
         await world.until(lambda: world.open_groups(LARGE) == 2, timeout_s=3)
-        asking.cancel()
+        traffic.cancel()
 
     run_world(test)
 
@@ -233,22 +233,22 @@
     return head is not None and head.epoch == standing.epoch and head.state == "open"
 
 
-def test_slow_group_is_left_alone_while_no_sound_standby_is_there():
+def test_slow_group_is_kept_without_a_sound_standby():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
         for host in world.fabric.hosts.values():
             host.pace = 9.0
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         epochs = {h.standing.epoch for h in world.fabric.hosts.values()}
         await asyncio.sleep(5)
-        asking.cancel()
+        traffic.cancel()
         assert {h.standing.epoch for h in world.fabric.hosts.values()} == epochs
 
     run_world(test)
 
 
-def test_word_of_a_coordinator_that_is_gone_is_not_trusted_for_long():
+def test_state_published_by_a_dead_coordinator_expires():
     async def test(world):
         await world.until_formed()
         node = next(n for name, n in world.nodes.items() if name != world.coordinator())
@@ -262,7 +262,7 @@
     run_world(test)
 
 
-def test_only_the_coordinator_reads_the_store_while_all_is_well():
+def test_only_the_coordinator_polls_the_store():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(4)
@@ -273,7 +273,7 @@
     run_world(test, nodes=6)
 
 
-def test_nodes_read_themselves_while_the_coordinator_can_not():
+def test_nodes_read_the_store_while_the_coordinator_cannot():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -294,11 +294,11 @@
 
 
 @pytest.mark.parametrize("silent_s", [1.0, 1.5, 2.0, 2.5, 3.0])
-def test_members_that_were_all_silent_are_not_free_when_they_are_back(silent_s):
+def test_members_that_were_all_unreachable_stay_bound_to_their_group(silent_s):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(0.5)
         head = member_of(world, LARGE, rank=0)
         silent = [world.fabric.hosts[member] for member in head.standing.members]
@@ -309,12 +309,12 @@
             host.is_dark = False
         await asyncio.sleep(6)
         await world.until(lambda: world.open_groups(LARGE) == 2)
-        asking.cancel()
+        traffic.cancel()
 
     run_world(test)
 
 
-def test_node_with_ample_processor_time_becomes_the_coordinator():
+def test_node_with_the_most_processor_time_becomes_the_coordinator():
     async def test(world):
         for name, cores in (("slow-1", 0.5), ("slow-2", 0.5), ("fast", 2.0), ("slow-3", 0.5)):
             await world.start_node(name, cores)
@@ -324,15 +324,15 @@
     run_world(test, nodes=0, domains=0)
 
 
-def test_group_serves_nobody_before_its_slowest_member_is_ready():
+def test_group_does_not_serve_before_its_slowest_member_is_ready():
     async def test(world):
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         slow = list(world.fabric.hosts.values())[1::2]
         for host in slow:
             host.times = HostTimes(load_s=6.0)
         await world.until_formed()
         await asyncio.sleep(2)
-        asking.cancel()
+        traffic.cancel()
 
     run_world(test, domains=1)
 
@@ -342,7 +342,7 @@
         await world.until_formed()
         holder = world.nodes[world.coordinator()]
         other = next(node for node in world.nodes.values() if node is not holder)
-        await other.lease.look()
+        await other.lease.read_state()
         other.coordination._election_delay_s = lambda: 1.0
         standing = asyncio.create_task(other.coordination._stand_for_election())
         await asyncio.sleep(1.5)
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -10,12 +10,12 @@
 import pytest
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.coordination.hub import HeardNode
+from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.fleet.halls import failed_halls, hall_signs
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.halls import assess_hall, failed_halls
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.known.load import LoadReport
 from mulleinreach.gateway.known.upstreams import Head, UpstreamDirectory
 from mulleinreach.gateway.node import GatewayNode
@@ -34,13 +34,13 @@
 from mulleinreach.standins.virtual import run_virtual
 
 HALLS = {"halls": 3, "nodes": 6, "domains": 6}
-FOUND_S = 1.0
+MAX_DETECTION_S = 1.0
 # The lease of a coordinator that has failed is free after three and a half seconds.
-FOUND_ANEW_S = 5.0
+MAX_DETECTION_AFTER_TAKEOVER_S = 5.0
 COLD_S = 6.0
 
 
-class _Callers:
+class _Clients:
     """Callers of all nodes, who ask for streams for ever and go away with their node."""
 
     def __init__(self, world: GatewayWorld):
@@ -65,13 +65,13 @@
             task.cancel()
 
 
-async def _serve(world: GatewayWorld) -> _Callers:
+async def _start_traffic(world: GatewayWorld) -> _Clients:
     """Have all groups formed, and requests run at them for a while."""
     await world.until_formed()
     await asyncio.sleep(4)
-    callers = _Callers(world)
+    clients = _Clients(world)
     await asyncio.sleep(2)
-    return callers
+    return clients
 
 
 def _hall_of_coordinator(world: GatewayWorld) -> str:
@@ -82,7 +82,7 @@
     return next(hall for hall in world.halls if hall != _hall_of_coordinator(world))
 
 
-def _is_told_lost(world: GatewayWorld, hall: str) -> bool:
+def _is_reported_lost(world: GatewayWorld, hall: str) -> bool:
     """Whether all living nodes pass over all upstreams of a hall."""
     lost = {upstream.id for upstream in world.upstreams_in(hall)}
     return all(lost <= node.eligibility.lost for node in world.nodes.values())
@@ -96,18 +96,20 @@
 @pytest.mark.parametrize("loses_coordinator", [False, True])
 def test_hall_that_fails_is_lost_as_a_whole_and_gets_no_orders(loses_coordinator):
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         hall = _hall_of_coordinator(world) if loses_coordinator else _another_hall(world)
         await world.add_plain("desk", _never, hall)
         await asyncio.sleep(1)
         await world.lose_hall(hall)
-        found_s = await world.until(lambda: _is_told_lost(world, hall))
+        detected_after_s = await world.until(lambda: _is_reported_lost(world, hall))
         orders = _orders_into(world, hall)
         await asyncio.sleep(5)
         assert _orders_into(world, hall) == orders
-        assert _is_told_lost(world, hall)
-        callers.stop()
-        assert found_s < (FOUND_ANEW_S if loses_coordinator else FOUND_S)
+        assert _is_reported_lost(world, hall)
+        clients.stop()
+        assert detected_after_s < (
+            MAX_DETECTION_AFTER_TAKEOVER_S if loses_coordinator else MAX_DETECTION_S
+        )
 
     run_world(test, **HALLS)
 
@@ -116,23 +118,23 @@
     await asyncio.sleep(3600)
 
 
-def test_slow_hall_with_a_silent_node_and_a_group_that_stands_still_is_not_down():
+def test_slow_hall_with_a_silent_node_and_a_stalled_group_is_not_down():
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         hall = _another_hall(world)
         for host in world.hosts_in(hall):
             host.pace = 4.0
         await world.kill_node(next(n for n, node in world.nodes.items() if _is_in(node, hall)))
         _an_open_head(world, hall).is_dark = True
         assert await _down_halls_within(world, 3) == set()
-        callers.stop()
+        clients.stop()
 
     run_world(test, **HALLS)
 
 
-def test_coordinator_whose_hall_is_cut_off_finds_nothing():
+def test_coordinator_whose_hall_is_cut_off_detects_no_failure():
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         own = _hall_of_coordinator(world)
         inside = [name for name, node in world.nodes.items() if _is_in(node, own)]
         outside = [name for name in world.nodes if name not in inside]
@@ -143,7 +145,7 @@
             for host in hosts:
                 world.links.cut(name, host)
         assert await _down_halls_within(world, 2) == set()
-        callers.stop()
+        clients.stop()
 
     run_world(test, **HALLS)
 
@@ -172,16 +174,16 @@
 
 
 @pytest.mark.parametrize("is_replaced", [False, True])
-def test_hosts_of_a_hall_that_is_back_serve_again_without_haste(is_replaced):
+def test_recovered_hall_serves_again_within_the_load_limit(is_replaced):
     async def test(world):
-        callers = await _serve(world)
+        clients = await _start_traffic(world)
         hall = _another_hall(world)
         lost = world.hosts_in(hall)
         await world.lose_hall(hall)
-        await world.until(lambda: _is_told_lost(world, hall))
+        await world.until(lambda: _is_reported_lost(world, hall))
         await asyncio.sleep(3)
         for host in lost:
-            await _come_back(world, host, is_replaced)
+            await _restart(world, host, is_replaced)
         most_loads = 0
         until = world.clock.now() + 9
         while world.clock.now() < until:
@@ -191,8 +193,8 @@
             await asyncio.sleep(0.05)
         # One of each model in both domains.
         assert _open_groups_in(world, hall) >= 4
-        assert most_loads <= PROFILE.loads_at_once
-        callers.stop()
+        assert most_loads <= PROFILE.max_concurrent_loads
+        clients.stop()
 
     run_world(test, **HALLS)
 
@@ -203,7 +205,7 @@
     return sum(head.upstream.hall == hall for head in heads)
 
 
-def test_evacuated_hall_gets_no_weights_until_it_is_taken_back():
+def test_evacuated_hall_loads_no_weights_until_the_evacuation_ends():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -221,7 +223,7 @@
     run_world(test, **HALLS)
 
 
-def test_lost_group_of_an_evacuated_hall_is_formed_anew_without_loads():
+def test_lost_group_of_an_evacuated_hall_is_formed_again_without_loads():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(4)
@@ -250,7 +252,7 @@
     )
 
 
-async def _come_back(world: GatewayWorld, host: HostStandIn, is_replaced: bool) -> None:
+async def _restart(world: GatewayWorld, host: HostStandIn, is_replaced: bool) -> None:
     """Start a host again after a loss of power, under the same id or under a new one."""
     if is_replaced:
         world.store.put(UPSTREAMS, host.id, None)
@@ -268,10 +270,10 @@
     return standing.model not in host.upstream.staged
 
 
-def test_hosts_of_a_hall_that_is_down_are_lost_until_they_show_themselves():
+def test_hosts_of_a_hall_that_is_down_are_lost_until_they_respond():
     async def test():
         directory, clock = UpstreamDirectory(), VirtualClock()
-        hosts = HostBook(directory, clock)
+        hosts = HostRegistry(directory, clock)
         rows = [make_upstream(name, "s", 1, "d", name[0]) for name in ("a1", "a2", "b1")]
         directory.replace_all(1, rows, clock.now())
         hosts.refresh("s")
@@ -280,7 +282,7 @@
         assert hosts.lost() == ["a1", "a2"]
         hosts.mark_hall_up("a", back={"a2"})
         assert [host.id for host in hosts.usable("s")] == ["a2", "b1"]
-        hosts.take_report(rows[0], clock.now())
+        hosts.merge_report(rows[0], clock.now())
         assert hosts.lost() == []
 
     run_virtual(test())
@@ -288,45 +290,47 @@
 
 # The signs, one by one.
 
-STILL = LoadReport("", 2, 0, 2.0, 2.0)
-MOVING = LoadReport("", 2, 0, 0.05, 2.0)
+STALLED = LoadReport("", 2, 0, 2.0, 2.0)
+PROGRESSING = LoadReport("", 2, 0, 0.05, 2.0)
 JUST_SENT = LoadReport("", 1, 0, 1000.0, 0.1)
 
 
-def _found(loads: list[LoadReport], nodes_silent_s: list[float], third=MOVING) -> list[str]:
+def _detected_halls(
+    loads: list[LoadReport], nodes_silent_s: list[float], third=PROGRESSING
+) -> list[str]:
     """Return the halls that are found to be down by the loads of heads and the nodes of ``a``."""
     heads = [
         Head(make_upstream(f"a{n}", MODEL_SERVICE, n, "d", "a"), f"g{n}", 1, LARGE)
         for n in range(4)
     ]
-    told = {f"a{n}": load for n, load in enumerate(loads)}
-    nodes = [HeardNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
-    signs = [hall_signs("a", heads, told, set(), nodes)]
-    for hall, load in (("b", MOVING), ("c", third)):
+    loads_by_head = {f"a{n}": load for n, load in enumerate(loads)}
+    nodes = [RecentNode(NodeReport(f"n{n}", [], hall="a"), s) for n, s in enumerate(nodes_silent_s)]
+    signs = [assess_hall("a", heads, loads_by_head, set(), nodes)]
+    for hall, load in (("b", PROGRESSING), ("c", third)):
         head = Head(make_upstream(hall, MODEL_SERVICE, 9, "d", hall), hall, 1, LARGE)
-        signs.append(hall_signs(hall, [head], {hall: load}, set(), nodes))
+        signs.append(assess_hall(hall, [head], {hall: load}, set(), nodes))
     return [found.hall for found in failed_halls(signs, own_hall="b")]
 
 
 @pytest.mark.parametrize(
     ("loads", "nodes_silent_s", "is_down"),
     [
-        ([STILL, STILL], [0.7, 0.8], True),
-        ([STILL, STILL, JUST_SENT], [0.7, 0.8], True),
-        ([STILL, STILL, STILL, MOVING], [0.7, 0.8], False),
-        ([STILL, STILL, STILL, STILL], [0.7, 0.2], False),
-        ([STILL], [0.7, 0.8], False),
+        ([STALLED, STALLED], [0.7, 0.8], True),
+        ([STALLED, STALLED, JUST_SENT], [0.7, 0.8], True),
+        ([STALLED, STALLED, STALLED, PROGRESSING], [0.7, 0.8], False),
+        ([STALLED, STALLED, STALLED, STALLED], [0.7, 0.2], False),
+        ([STALLED], [0.7, 0.8], False),
         ([JUST_SENT, JUST_SENT], [0.7, 0.8], False),
         ([], [0.7, 0.8], False),
-        ([STILL, STILL], [], True),
-        ([STILL], [], False),
-        ([replace(STILL, oldest_s=0.5)] * 4, [], False),
+        ([STALLED, STALLED], [], True),
+        ([STALLED], [], False),
+        ([replace(STALLED, oldest_s=0.5)] * 4, [], False),
     ],
 )
-def test_signs_of_a_hall_that_has_failed(loads, nodes_silent_s, is_down):
-    assert _found(loads, nodes_silent_s) == (["a"] if is_down else [])
+def test_hall_failure_is_detected_from_its_health(loads, nodes_silent_s, is_down):
+    assert _detected_halls(loads, nodes_silent_s) == (["a"] if is_down else [])
 
 
-def test_nothing_is_found_unless_a_third_hall_is_alive():
-    assert _found([STILL, STILL], [0.7]) == ["a"]
-    assert _found([STILL, STILL], [0.7], third=STILL) == []
+def test_no_failure_is_detected_without_progress_in_a_third_hall():
+    assert _detected_halls([STALLED, STALLED], [0.7]) == ["a"]
+    assert _detected_halls([STALLED, STALLED], [0.7], third=STALLED) == []
--- a/mulleinreach/gateway/fleet/tests/test_planner.py
+++ b/mulleinreach/gateway/fleet/tests/test_planner.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mulleinreach.common import Address, Clock, VirtualClock
-from mulleinreach.gateway.fleet.hosts import HostBook
+from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.planner import (
     DomainView,
     FreeHost,
@@ -25,7 +25,7 @@
 from mulleinreach.standins.virtual import run_virtual
 
 MODELS = (EngineModel(LARGE, 4, share=0.67), EngineModel(SMALL, 2, share=0.33))
-CALM = {LARGE: 0.2, SMALL: 0.3}
+MODERATE_USAGE = {LARGE: 0.2, SMALL: 0.3}
 SMALL_IS_FULL = {LARGE: 0.2, SMALL: 1.1}
 BOTH_ARE_FULL = {LARGE: 1.0, SMALL: 1.0}
 
@@ -34,7 +34,7 @@
     return DomainView("domain", hosts, groups, {}, free, usage)
 
 
-@pytest.mark.parametrize("usage", [{}, CALM, BOTH_ARE_FULL])
+@pytest.mark.parametrize("usage", [{}, MODERATE_USAGE, BOTH_ARE_FULL])
 def test_every_model_gets_a_group_while_no_model_lacks_more_than_the_other(usage):
     assert target_groups(_view(8, {}, usage), MODELS)[LARGE] == 1
     assert target_groups(_view(8, {}, usage), MODELS)[SMALL] >= 1
@@ -53,13 +53,13 @@
     assert target_groups(view, MODELS) == {LARGE: 0, SMALL: 2}
     loads = plan_standbys(view, MODELS, target_groups(view, MODELS))
     assert [plan.model for plan in loads] == [SMALL] * 3
-    calm = _view(5, {SMALL: 1}, CALM, *survivors)
+    moderate = _view(5, {SMALL: 1}, MODERATE_USAGE, *survivors)
     # One of them stands by for the group that serves; the others wait for a fourth host.
-    plans = plan_standbys(calm, MODELS, target_groups(calm, MODELS))
+    plans = plan_standbys(moderate, MODELS, target_groups(moderate, MODELS))
     assert [plan.model for plan in plans] == [SMALL]
 
 
-def test_only_standby_is_of_the_model_whose_loss_would_hurt():
+def test_only_standby_is_of_the_model_with_the_greatest_need():
     groups = {LARGE: 1, SMALL: 1}
     assert target_standbys(_view(7, groups, {}), groups, MODELS) == {LARGE: 1, SMALL: 0}
     assert target_standbys(_view(7, groups, SMALL_IS_FULL), groups, MODELS)[SMALL] == 1
@@ -68,44 +68,44 @@
 def test_standbys_that_hold_a_full_model_form_a_group_at_once():
     free = [FreeHost("a", SMALL, (SMALL,)), FreeHost("b", SMALL, (SMALL,))]
     groups = {LARGE: 1, SMALL: 1}
-    full, calm = _view(8, groups, SMALL_IS_FULL, *free), _view(8, groups, CALM, *free)
+    full, moderate = _view(8, groups, SMALL_IS_FULL, *free), _view(8, groups, MODERATE_USAGE, *free)
     (plan,) = plan_groups(full, MODELS, target_groups(full, MODELS))
     assert (plan.model, plan.members) == (SMALL, ("a", "b"))
-    assert plan_groups(calm, MODELS, target_groups(calm, MODELS)) == []
+    assert plan_groups(moderate, MODELS, target_groups(moderate, MODELS)) == []
 
 
 def _head(name: str, model: str) -> Head:
     return Head(Upstream(name, "models", Address("10.0.0.1", 80), "hall"), name, 1, model)
 
 
-def test_usage_follows_what_lasts_and_not_a_moment():
+def test_usage_is_smoothed():
     async def test():
         usage = ModelUsage(Clock())
         heads = [_head("l", LARGE), _head("s", SMALL)]
-        usage.note(PROFILE, heads, {})
+        usage.update(PROFILE, heads, {})
         assert usage.by_model() == {}
         half = PROFILE.slots / 2
-        usage.note(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
+        usage.update(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
         assert usage.by_model() == pytest.approx({LARGE: 0.0, SMALL: 0.5})
-        assert usage.places() == {}
+        assert usage.demand() == {}
         for _ in range(100):
             await asyncio.sleep(0.1)
-            usage.note(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
-        assert usage.places() == pytest.approx({LARGE: 0.0, SMALL: half})
+            usage.update(PROFILE, heads, {"s": LoadReport("s", half, 0, 0.0)})
+        assert usage.demand() == pytest.approx({LARGE: 0.0, SMALL: half})
         await asyncio.sleep(0.1)
-        usage.note(PROFILE, heads, {"s": LoadReport("s", 10 * half, 0, 0.0)})
+        usage.update(PROFILE, heads, {"s": LoadReport("s", 10 * half, 0, 0.0)})
         assert usage.by_model()[SMALL] < 0.7
         for _ in range(100):
             await asyncio.sleep(0.1)
-            usage.note(PROFILE, heads[:1], {"l": LoadReport("l", half, 0, 0.0)})
+            usage.update(PROFILE, heads[:1], {"l": LoadReport("l", half, 0, 0.0)})
         assert usage.by_model() == pytest.approx({LARGE: 0.5, SMALL: NO_GROUP_USAGE}, rel=0.1)
 
-        assert usage.places()[LARGE] == pytest.approx(half, rel=0.1)
+        assert usage.demand()[LARGE] == pytest.approx(half, rel=0.1)
 
     run_virtual(test())
 
 
-def test_cold_host_is_a_member_late_and_a_head_last():
+def test_cold_host_is_chosen_last_as_member_and_as_head():
     warm = [FreeHost(f"warm-{n}", SMALL) for n in range(2)]
     coldest, colder = FreeHost("coldest", SMALL, cold_s=9.0), FreeHost("colder", SMALL, cold_s=2.0)
     (plan,) = plan_groups(_view(4, {}, {}, coldest, colder, *warm), MODELS, {LARGE: 0, SMALL: 1})
@@ -116,10 +116,10 @@
     assert plan.members == ("colder", "coldest")
 
 
-def test_host_is_cold_for_as_long_as_its_row_told():
+def test_host_is_cold_for_as_long_as_its_row_states():
     async def test():
         directory, clock = UpstreamDirectory(), VirtualClock()
-        hosts = HostBook(directory, clock)
+        hosts = HostRegistry(directory, clock)
         row = Upstream("u", "s", Address("10.0.0.1", 1), "hall", cold_s=5.0)
         directory.replace_all(1, [row], clock.now())
         hosts.refresh("s")
--- a/mulleinreach/gateway/fleet/tests/test_staging.py
+++ b/mulleinreach/gateway/fleet/tests/test_staging.py
@@ -5,13 +5,13 @@
 import asyncio
 
 from mulleinreach.gateway.ports import Rejected
-from mulleinreach.gateway.tests.support import keep_asking, run_world
+from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.standins.gateway.hosts import HostTimes
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
 
 SLOW_LOAD = HostTimes(load_s=12.0, warm_s=0.5)
 # Noticed, told to leave, joined from staged weights, opened.
-REPAIR_S = 2.5
+MAX_REPAIR_S = 2.5
 
 
 def holds_both(host) -> bool:
@@ -34,16 +34,16 @@
         await asyncio.sleep(5)
         for host in world.fabric.hosts.values():
             host.times = SLOW_LOAD
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
         head = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, LARGE)[0]
         members = world.fabric.hosts[head.upstream.id].standing.members
-        dying = [asyncio.create_task(world.fabric.hosts[m].die()) for m in members[2:]]
+        failing = [asyncio.create_task(world.fabric.hosts[m].die()) for m in members[2:]]
         await world.until(lambda: world.open_groups(LARGE) == 1)
         taken_s = await world.until(lambda: world.open_groups(LARGE) == 2)
-        asking.cancel()
-        await asyncio.gather(*dying)
-        assert taken_s < REPAIR_S
+        traffic.cancel()
+        await asyncio.gather(*failing)
+        assert taken_s < MAX_REPAIR_S
 
     run_world(test)
 
@@ -52,10 +52,10 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(5)
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         new = await world.add_host("host-new", "domain-0")
         await world.until(lambda: holds_both(new), 15)
-        asking.cancel()
+        traffic.cancel()
 
     run_world(test)
 
@@ -65,7 +65,7 @@
         for host in world.fabric.hosts.values():
             host.stage = lambda model: Rejected(409)
         await world.until_formed()
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(0.5)
         staged: list[str] = []
         for host in world.fabric.hosts.values():
@@ -77,33 +77,33 @@
             if host.standing is not None and host.standing.state == "open"
             for member in host.standing.members
         }
-        asking.cancel()
+        traffic.cancel()
         assert not serving & set(staged)
 
     run_world(test)
 
 
-def test_coordinator_that_is_new_knows_the_model_of_standbys():
+def test_new_coordinator_knows_the_models_of_standbys():
     async def test(world):
         await world.until_formed()
         await world.until(lambda: all(map(holds_both, world.fabric.hosts.values())), 6)
         await world.kill_node(world.coordinator())
         await world.until(lambda: world.coordinator() is not None)
         await asyncio.sleep(3)
-        book = world.nodes[world.coordinator()].hosts
+        registry = world.nodes[world.coordinator()].hosts
         for name, host in world.fabric.hosts.items():
-            assert book.last_model(name) == host.last_model
+            assert registry.last_model(name) == host.last_model
 
     run_world(test, nodes=3)
 
 
 def test_host_that_refuses_a_second_model_is_not_asked_again_at_once():
     async def test(world):
-        asked: list[str] = []
+        staging_requests: list[str] = []
         refusing = world.fabric.hosts["host-0-0"]
-        refusing.stage = lambda model: asked.append(model) or Rejected(409)
+        refusing.stage = lambda model: staging_requests.append(model) or Rejected(409)
         await world.until_formed()
         await asyncio.sleep(6)
-        assert len(asked) == 1
+        assert len(staging_requests) == 1
 
     run_world(test)
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -14,7 +14,7 @@
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
 
 
-def test_head_that_refuses_twice_as_misdirected_gets_nothing_until_it_opens_anew():
+def test_head_that_rejects_two_requests_as_misdirected_is_excluded_until_it_reopens():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -26,13 +26,13 @@
             ids = [known.upstream.id for known in node.chooser.heads(MODEL_SERVICE, LARGE)]
             assert (head.upstream.id in ids) == (refusals < 2)
         opened_anew = replace(head, epoch=head.epoch + 1)
-        node.chooser.take_told([opened_anew], frozenset())
+        node.chooser.set_coordinator_heads([opened_anew], frozenset())
         assert opened_anew in node.chooser.heads(MODEL_SERVICE, LARGE)
 
     run_world(test)
 
 
-def test_accepted_end_of_a_group_that_changes_nothing_is_ordered_ever_more_rarely():
+def test_ineffective_end_orders_are_repeated_with_increasing_delay():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
@@ -48,7 +48,7 @@
         world.fabric.leave = leave
         # The list is read as often as while a group is formed, so that the row which
         # contradicts the accepted order is heard before the host is used elsewhere.
-        coordinator.operator._waits = 1
+        coordinator.operator._quick_waits = 1
         stale = host.describe()
         host.report = lambda: stale
         coordinator.hosts.mark_ended(Group(*head.place, {}), None)
@@ -76,7 +76,7 @@
         await asyncio.sleep(0.1)
         await coordinator.operator.dissolve(earlier)
         _, outcome = await coordinator.operator.join_all(
-            LARGE, [coordinator.hosts.get(head.id)], patience_s=1.0
+            LARGE, [coordinator.hosts.get(head.id)], timeout_s=1.0
         )
         assert outcome is JoinOutcome.WITHHELD
         await asyncio.sleep(2)
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -9,12 +9,12 @@
 
 from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.tests.support import run_world
-from mulleinreach.gateway.upstream import incarnation_id, name_of
+from mulleinreach.gateway.upstream import incarnation_id, upstream_name
 from mulleinreach.standins.gateway.world import LARGE, SMALL
 
 # A group of four whose host starts again is whole once more after the order to join, the load of
 # its weights from the host's disk and the opening: 0.5 s, 0.3 s and some rounds.
-REPAIRED_S = 2.5
+MAX_REPAIR_S = 2.5
 
 
 def member_of_open_group(world, rank: int):
@@ -26,14 +26,14 @@
     raise AssertionError("no open group")
 
 
-def stands_in(host, group: str) -> bool:
+def is_member(host, group: str) -> bool:
     """Whether a host stands in a group."""
     return host.standing is not None and host.standing.group == group
 
 
 @pytest.mark.parametrize("rank", [0, 1])
 @pytest.mark.parametrize("back_after_s", [0.05, 0.6])
-def test_group_is_formed_anew_when_a_member_starts_again(rank, back_after_s):
+def test_group_is_formed_again_when_a_member_restarts(rank, back_after_s):
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
@@ -42,16 +42,16 @@
         world.crashes.begin(host.id, back_after_s, keeps_name=True)
         took_s = await world.until(
             lambda: (
-                not any(stands_in(h, group) for h in world.fabric.hosts.values())
+                not any(is_member(h, group) for h in world.fabric.hosts.values())
                 and all(
                     (world.open_groups(LARGE, name), world.open_groups(SMALL, name)) == (2, 2)
                     for name in world.nodes
                 )
             )
         )
-        assert took_s < REPAIRED_S
+        assert took_s < MAX_REPAIR_S
         for node in world.nodes.values():
-            assert node.directory.running(name_of(host.id)) not in (None, host.id)
+            assert node.directory.running(upstream_name(host.id)) not in (None, host.id)
         for name in world.nodes:
             answer = await world.stream(20, node=name)
             assert len(answer.event_ids) == 20
@@ -59,7 +59,7 @@
     run_world(test, nodes=2)
 
 
-def test_streams_go_on_at_once_where_a_head_starts_again_in_silence():
+def test_streams_resume_at_once_when_a_head_restarts_without_a_reset():
     """Its connections give no reset, so only the list tells that they lead nowhere."""
 
     async def test(world):
@@ -81,7 +81,7 @@
     run_world(test, nodes=2, domains=4)
 
 
-def test_start_while_the_store_is_away_is_found_by_asking():
+def test_restart_during_a_store_outage_is_detected_by_probing():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(1)
@@ -96,23 +96,23 @@
     run_world(test, nodes=2)
 
 
-def test_many_starts_in_a_row_leave_one_upstream_under_the_name():
+def test_repeated_restarts_leave_one_upstream_under_the_name():
     async def test(world):
         await world.until_formed()
-        name = name_of(member_of_open_group(world, 2).id)
+        name = upstream_name(member_of_open_group(world, 2).id)
         for _ in range(4):
             current = next(iter(world.nodes.values())).directory.running(name)
             world.crashes.begin(current, 0.02, keeps_name=True)
             await asyncio.sleep(0.15)
         await world.until(lambda: all(world.open_groups(LARGE, node) == 2 for node in world.nodes))
         for node in world.nodes.values():
-            ids = [u for u in node.directory.ids() if name_of(u) == name]
+            ids = [u for u in node.directory.ids() if upstream_name(u) == name]
             assert len(ids) == 1
 
     run_world(test, nodes=2)
 
 
-def test_list_alone_ends_what_runs_at_an_earlier_start():
+def test_list_alone_ends_requests_at_an_earlier_start():
     async def test(world):
         await world.until_formed()
         asking = asyncio.create_task(world.stream(60, node="node-1"))
@@ -120,7 +120,7 @@
         node = world.nodes["node-1"]
         [runs] = world.fabric.checks.runs.values()
         before = node.directory.get(runs[0])
-        later = replace(before, id=incarnation_id(name_of(before.id), 5), membership=None)
+        later = replace(before, id=incarnation_id(upstream_name(before.id), 5), membership=None)
         node.directory.apply(ListChange(node.directory.revision, [later], []), world.clock.now())
         await asyncio.sleep(0.05)
         assert node.loads.running(before.id) == 0
--- a/mulleinreach/gateway/fleet/watch.py
+++ b/mulleinreach/gateway/fleet/watch.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.fleet.duties import HostDuties
+from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import (
-    SLOW_PACE,
-    HostBook,
+    MAX_NORMAL_PACE,
+    HostRegistry,
+    is_member,
     is_serving,
     is_standby,
-    stands_in,
 )
 from mulleinreach.gateway.fleet.placement import Placement
 from mulleinreach.gateway.known.load import LoadReport
@@ -22,22 +22,22 @@
 from mulleinreach.gateway.ports import Unavailable
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState
 
-SILENCE_SUSPECT_S = 0.3
-CHECK_AGAIN_S = 0.8
+SUSPECT_STALL_S = 0.3
+MEMBER_CHECK_INTERVAL_S = 0.8
 SLOW_PROBE_TIMEOUT_S = 0.5
-RECHECK_LOST_S = 1.0
-UNFINISHED_S = 4.0
+LOST_CHECK_INTERVAL_S = 1.0
+MAX_UNFINISHED_S = 4.0
 # A host that drains stays for three seconds, and longer while its group has work.
 # Requests that were sent before all nodes knew are on their way for some time.
 # Letting groups finish is worth 0.005 of a day's worth where upstreams are released in turn
 # (nine days), and nothing measurable elsewhere; it cuts no stream of a planned leave.
-RETIRE_LONGEST_S = 3.5
-RETIRE_SHORTEST_S = 0.5
+MAX_RETIRING_S = 3.5
+MIN_RETIRING_S = 0.5
 # The list drops hosts at times while the store is down; a heartbeat brings them back.
-HEAD_ABSENT_S = 1.5
+MAX_HEAD_ABSENCE_S = 1.5
 
 
-class GroupWatch:
+class GroupMonitor:
     """Looks at one group after the other.
 
     Parameters
@@ -48,10 +48,10 @@
 
     def __init__(
         self,
-        hosts: HostBook,
+        hosts: HostRegistry,
         operator: GroupOperator,
         placement: Placement,
-        duties: HostDuties,
+        duties: HostTasks,
         loads: Callable[[], list[LoadReport]],
         clock: Clock,
         log: EventLog,
@@ -59,7 +59,7 @@
         self._hosts = hosts
         self._operator = operator
         self._placement = placement
-        self._duties = duties
+        self._host_tasks = duties
         self._loads = loads
         self._clock = clock
         self._log = log
@@ -72,7 +72,7 @@
         """Return the pace of a group, as its members last reported it."""
         return self._paces.get(key, 1.0)
 
-    def look_at(
+    def check_group(
         self,
         engine: EngineProfile,
         key: tuple[str, int],
@@ -88,30 +88,30 @@
         head = group.head
         if self._hosts.ended_for_s(key) is not None:
             is_intact = group.is_whole(model.size) and not self._hosts.has_lost_member(group)
-            if not (is_intact and self._hosts.revive(key)):
+            if not (is_intact and self._hosts.cancel_end(key)):
                 self._spawn_dissolve(group, model, "a member is back that was not told to leave")
             return
         if head is None:
-            self._look_at_headless(key, group, model)
+            self._check_headless(key, group, model)
         elif is_serving(group):
             load = loads.get(head.id)
-            is_silent = load is not None and load.stalled_s > SILENCE_SUSPECT_S
-            is_missing = not (group.is_whole(model.size) or self._hosts.is_settling())
+            is_silent = load is not None and load.stalled_s > SUSPECT_STALL_S
+            is_missing = not (group.is_whole(model.size) or self._hosts.is_in_grace_period())
             if self._hosts.has_lost_member(group):
                 self._spawn_dissolve(group, model, "a member is lost")
             elif is_silent or is_missing:
-                self._check(key, group, model, "silent" if is_silent else "member not listed")
+                self._start_check(key, group, model, "silent" if is_silent else "member not listed")
             elif self._hosts.retiring_for_s(key) is not None:
                 self._end_when_idle(key, group, model, load)
-            elif self._can_replace(group, model, self._draining(group)):
+            elif self._can_replace(group, model, self._draining_members(group)):
                 self._log.event("group_retiring", group=group.name, why="a member drains")
                 self._hosts.begin_retiring(key, head.id)
-            elif self._can_replace(group, model, self._slow(key, group, model)):
+            elif self._can_replace(group, model, self._slow_members(key, group, model)):
                 self._spawn_dissolve(group, model, "a member is slow")
         elif head.membership.state is MemberState.BROKEN:
             self._spawn_dissolve(group, model, "broken")
         elif self._is_ready(group, model):
-            self._duties.spawn(self._operator.open(group), group.members.values())
+            self._host_tasks.spawn(self._operator.open(group), group.members.values())
         elif self._is_stuck(key, group, model):
             self._spawn_dissolve(group, model, "it was left unfinished")
 
@@ -125,7 +125,7 @@
         """End a group that takes nothing new once its work is done, or takes too long."""
         retiring_s = self._hosts.retiring_for_s(key)
         is_idle = load is None or load.running == 0
-        if retiring_s > RETIRE_LONGEST_S or (is_idle and retiring_s > RETIRE_SHORTEST_S):
+        if retiring_s > MAX_RETIRING_S or (is_idle and retiring_s > MIN_RETIRING_S):
             self._spawn_dissolve(group, model, "it has retired")
 
     def _is_stuck(self, key: tuple[str, int], group: Group, model: EngineModel) -> bool:
@@ -134,21 +134,21 @@
         if self._hosts.has_lost_member(group):
             return True
         if not group.is_whole(model.size):
-            return not self._hosts.is_settling()
-        return self._clock.now() - since > UNFINISHED_S
+            return not self._hosts.is_in_grace_period()
+        return self._clock.now() - since > MAX_UNFINISHED_S
 
-    def _look_at_headless(self, key: tuple[str, int], group: Group, model: EngineModel) -> None:
+    def _check_headless(self, key: tuple[str, int], group: Group, model: EngineModel) -> None:
         """End a group whose head is off the list: no node may send anything there.
 
         The head may run on all the same, and it may be back with its next heartbeat.
         """
         head = self._hosts.head_of(key)
-        if head is not None and not stands_in(head, group):
+        if head is not None and not is_member(head, group):
             return
-        if self._hosts.is_settling():
+        if self._hosts.is_in_grace_period():
             return
-        absent_s = HEAD_ABSENT_S if head is None else self._hosts.delisted_for_s(head.id)
-        if absent_s >= HEAD_ABSENT_S:
+        absent_s = MAX_HEAD_ABSENCE_S if head is None else self._hosts.delisted_for_s(head.id)
+        if absent_s >= MAX_HEAD_ABSENCE_S:
             self._spawn_dissolve(group, model, "the head is off the list")
 
     def _has_ended(self, key: tuple[str, int], group: Group) -> bool:
@@ -161,7 +161,7 @@
             for m in group.members.values()
             if not self._hosts.is_lost(m.id) and not self._hosts.has_left(m.id, key)
         ]
-        return not (self._hosts.may_end_again(key) and (is_open or bound))
+        return not (self._hosts.may_retry_end(key) and (is_open or bound))
 
     def _is_in_down_hall(self, group: Group) -> bool:
         return any(self._hosts.is_in_down_hall(member.id) for member in group.members.values())
@@ -177,14 +177,16 @@
             for m in group.members.values()
         )
 
-    def _draining(self, group: Group) -> list[Upstream]:
+    def _draining_members(self, group: Group) -> list[Upstream]:
         return [m for m in group.members.values() if m.state is UpstreamState.DRAINING]
 
-    def _slow(self, key: tuple[str, int], group: Group, model: EngineModel) -> list[Upstream]:
+    def _slow_members(
+        self, key: tuple[str, int], group: Group, model: EngineModel
+    ) -> list[Upstream]:
         """Return the slow members of a group; one that was slow is asked again."""
-        if self.pace(key) <= SLOW_PACE:
+        if self.pace(key) <= MAX_NORMAL_PACE:
             return []
-        self._check(key, group, model, "slow")
+        self._start_check(key, group, model, "slow")
         return [m for m in group.members.values() if self._hosts.is_slow(m.id)]
 
     def _can_replace(self, group: Group, model: EngineModel, leaving: list[Upstream]) -> bool:
@@ -200,13 +202,15 @@
         spares = [self._hosts.get(host.id) for host in self._placement.spares(group, model)]
         await asyncio.gather(*(self._operator.probe(spare) for spare in spares))
 
-    def _check(self, key: tuple[str, int], group: Group, model: EngineModel, why: str) -> None:
+    def _start_check(
+        self, key: tuple[str, int], group: Group, model: EngineModel, why: str
+    ) -> None:
         """Ask a group's members for their state, at most once in a while."""
         now = self._clock.now()
-        if now - self._checked_at.get(key, float("-inf")) < CHECK_AGAIN_S:
+        if now - self._checked_at.get(key, float("-inf")) < MEMBER_CHECK_INTERVAL_S:
             return
         self._checked_at[key] = now
-        self._duties.spawn_question(self._check_members(group, model, why))
+        self._host_tasks.spawn_probe(self._check_members(group, model, why))
 
     async def _check_members(self, group: Group, model: EngineModel, why: str) -> None:
         members = self._members_ever_known(group)
@@ -220,13 +224,13 @@
         moved = [
             m.id
             for m, r in zip(members, reports, strict=True)
-            if isinstance(r, Upstream) and not stands_in(r, group)
+            if isinstance(r, Upstream) and not is_member(r, group)
         ]
         for host in lost:
             self._hosts.mark_lost(host)
         key = (group.name, group.epoch)
         self._paces[key] = max((self._hosts.pace(m.id) for m in members), default=1.0)
-        if self._paces[key] > SLOW_PACE:
+        if self._paces[key] > MAX_NORMAL_PACE:
             await self._probe_spares(group, model)
         self._log.event(
             "group_checked",
@@ -240,20 +244,20 @@
         is_incomplete = len(members) < model.size and not self._makes_progress(group)
         if (lost or moved or is_incomplete) and not self._is_busy(group):
             self._spawn_dissolve(group, model, f"lost {lost} moved {moved}")
-        self._duties.wake.set()
+        self._host_tasks.wake.set()
 
     def _makes_progress(self, group: Group) -> bool:
         """Whether requests at a group's head go on, which shows that it is whole."""
         for load in self._loads():
             if group.head is not None and load.upstream_id == group.head.id:
-                return load.running > 0 and load.silent_s < SILENCE_SUSPECT_S
+                return load.running > 0 and load.silent_s < SUSPECT_STALL_S
         return False
 
     def _members_ever_known(self, group: Group) -> list[Upstream]:
         """Return a group's members, those too that are on the list no more."""
         members = {m.id: m for m in group.members.values()}
-        for host in self._hosts.remembered():
-            if host.id not in members and stands_in(host, group):
+        for host in self._hosts.ever_listed():
+            if host.id not in members and is_member(host, group):
                 members[host.id] = host
         return list(members.values())
 
@@ -262,8 +266,8 @@
         known = {m.membership.rank: m for m in self._members_ever_known(group) if m.membership}
         whole = Group(group.name, group.epoch, {**known, **group.members})
         if is_serving(group) and group.head.domain is not None:
-            self._hosts.note_missing_group(group.head.domain, model.name)
-        self._duties.spawn(self._dissolve(whole), whole.members.values())
+            self._hosts.record_missing_group(group.head.domain, model.name)
+        self._host_tasks.spawn(self._dissolve(whole), whole.members.values())
 
     async def _dissolve(self, group: Group) -> None:
         self._hosts.mark_ended(group, await self._operator.dissolve(group))
@@ -271,12 +275,12 @@
     def recheck_lost(self) -> None:
         """Ask lost hosts that are still listed whether they are back."""
         now = self._clock.now()
-        for host in self._hosts.lost_alone():
+        for host in self._hosts.individually_lost():
             known = self._hosts.get(host)
             if known is None or not self._hosts.is_listed(host):
                 continue
             if self._hosts.is_in_down_hall(host):
                 continue
-            if now - self._rechecked_at.get(host, float("-inf")) > RECHECK_LOST_S:
+            if now - self._rechecked_at.get(host, float("-inf")) > LOST_CHECK_INTERVAL_S:
                 self._rechecked_at[host] = now
-                self._duties.spawn_question(self._operator.probe(known))
+                self._host_tasks.spawn_probe(self._operator.probe(known))
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -20,23 +20,23 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.known.choosing import UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit
-from mulleinreach.gateway.known.crashes import CrashBook, Sighting
+from mulleinreach.gateway.known.crashes import CrashTracker, RunObservation
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.following import ConfigurationInForce
 from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 from mulleinreach.gateway.known.permits import PermitCount, SendPermits
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
-from mulleinreach.gateway.model import Inheritance
+from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
 from mulleinreach.gateway.request.urgency import FirstWaits
 
 # Older evidence would be too old at the nodes (1.5 s) before the next renewal.
-UNPROVEN_S = 0.7
+MAX_UNCONFIRMED_S = 0.7
 
 
-class SharedKnowledge:
+class SharedState:
     """One node's side of the exchange.
 
     Parameters
@@ -52,14 +52,14 @@
         in_force: ConfigurationInForce,
         follower: UpstreamFollower,
         directory: UpstreamDirectory,
-        loads: LoadBook,
+        loads: LoadTracker,
         chooser: UpstreamChooser,
         eligibility: Eligibility,
         cold_limit: ColdRateLimit,
         permits: SendPermits,
         controller: FleetController,
         first_waits: FirstWaits,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         on_lost: Callable[[str], None],
     ):
         self._in_force = in_force
@@ -123,25 +123,25 @@
         """Return the age of the latest proof that the configuration is the newest."""
         return self._in_force.evidence_age_s()
 
-    def inheritance(self) -> Inheritance:
+    def inheritance(self) -> HandoverState:
         """Return what nodes that start should know."""
-        return Inheritance(self._first_waits.known(), self._crashes.held())
+        return HandoverState(self._first_waits.known(), self._crashes.held())
 
-    def sightings(self, includes_old: bool) -> list[Sighting]:
+    def sightings(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw of upstreams that ended under requests, lately or ever."""
-        return self._crashes.own_sightings(includes_old)
+        return self._crashes.own_observations(includes_old)
 
-    def take_sightings(self, sightings: list[Sighting]) -> None:
+    def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Take what another node saw of upstreams that ended under requests."""
         self._crashes.take(sightings)
 
-    def untold_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
+    def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the limits of upstreams that the coordinator should know and hasn't told."""
-        return self._permits.limits.untold(includes_told)
+        return self._permits.limits.unpublished(includes_told)
 
-    def take_limits(self, named: tuple[NamedLimit, ...]) -> None:
+    def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Take what another node knows of the limits of upstreams."""
-        self._permits.limits.take_reported(named)
+        self._permits.limits.merge_reported(named)
 
     def limits(self) -> dict[str, float]:
         """Return the limits of upstreams that are in force, in requests a second."""
@@ -165,13 +165,13 @@
     async def read_changed_rows(self, rows: OperatorRows | None) -> None:
         """Read the operators' rows, which have other versions, unless a wait has told it."""
         if self._in_force.operator_rows() == rows:
-            await self._in_force.read_anew()
+            await self._in_force.read_now()
 
-    async def read_unproven_rows(self) -> None:
+    async def read_unconfirmed_rows(self) -> None:
         """Read the operators' rows if renewals have not proved them for too long."""
         self._follower.confirm(self._loads.now())
-        if self._in_force.evidence_age_s() > UNPROVEN_S:
-            await self._in_force.read_anew()
+        if self._in_force.evidence_age_s() > MAX_UNCONFIRMED_S:
+            await self._in_force.read_now()
 
     def note_store_failed(self) -> None:
         """Note that the store has just failed to answer."""
@@ -179,10 +179,10 @@
 
     # What is taken.
 
-    def take_inheritance(self, inheritance: Inheritance) -> None:
+    def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Take what an earlier coordinator knew of callers."""
         self._first_waits.take_told(inheritance.first_waits)
-        self._crashes.take_held(inheritance.held)
+        self._crashes.merge_held(inheritance.held)
 
     def take(self, report: CoordinatorReport, asked_at: float, own_loads: list[LoadReport]) -> None:
         """Take a coordinator's report.
@@ -195,7 +195,7 @@
         own_loads : what that report told of this node's own requests.
         """
         totals = report.totals
-        self._loads.take_totals(totals.loads, own_loads)
+        self._loads.update_totals(totals.loads, own_loads)
         self._in_force.take_passed(
             totals.configuration_version,
             asked_at - totals.configuration_age_s,
@@ -203,20 +203,20 @@
             frozenset(totals.evacuated),
             totals.operator_revision,
         )
-        self._follower.take_outage(totals.keeps_removed)
-        if totals.is_store_away:
-            self._in_force.note_store_away(asked_at)
+        self._follower.note_coordinator_retention(totals.keeps_removed)
+        if totals.is_store_unavailable:
+            self._in_force.note_store_unreachable(asked_at)
         if report.whole_list is not None:
-            self._follower.take_whole(report.whole_list, asked_at - totals.list_age_s)
+            self._follower.take_coordinator_list(report.whole_list, asked_at - totals.list_age_s)
         if not report.is_list_unknown:
             self._follower.take_passed(
                 report.changes, totals.list_revision, asked_at - totals.list_age_s
             )
-        self._cold_limit.take_number(report.number, totals.numbers, asked_at)
+        self._cold_limit.set_number(report.number, totals.numbers, asked_at)
         if totals.limits is not None:
             self._permits.limits.take_told(totals.limits, asked_at)
         self._permits.take(report.permits, asked_at, totals.nodes)
-        self._crashes.take_held(totals.held or (), asked_at)
+        self._crashes.merge_held(totals.held or (), asked_at)
         self._take_heads(totals)
         self._take_lost(totals.lost)
 
--- a/mulleinreach/gateway/known/choosing.py
+++ b/mulleinreach/gateway/known/choosing.py
@@ -7,7 +7,7 @@
 
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.cold import ColdUpstreams
-from mulleinreach.gateway.known.eligibility import Eligibility, Exclusion, RequestTerms
+from mulleinreach.gateway.known.eligibility import Eligibility, Exclusion, RequestConstraints
 from mulleinreach.gateway.known.notices import Rest
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.routing import Router
@@ -24,10 +24,10 @@
 # Seconds for which an upstream that failed a request is avoided: until its group's members
 # were asked, and a new group stands (0.9 s). Worth 0.009 of a day's worth on a site where
 # hosts hand out spoilt answers (ten days), and nothing measurable on another.
-SUSPECT_S = 1.0
+SUSPECT_DURATION_S = 1.0
 # One refusal may come from a head that opens a moment later than it was told to.
-MISDIRECTED_OFTEN = 2
-TOLD_FRESH_S = 1.0
+MISDIRECTED_THRESHOLD = 2
+MAX_REPORT_AGE_S = 1.0
 
 
 class SuspectList:
@@ -39,7 +39,7 @@
 
     def add(self, upstream_id: str) -> None:
         """Avoid an upstream for a while."""
-        self._until[upstream_id] = self._clock.now() + SUSPECT_S
+        self._until[upstream_id] = self._clock.now() + SUSPECT_DURATION_S
 
     def current(self) -> set[str]:
         """Return the upstreams to avoid now."""
@@ -70,11 +70,11 @@
     def is_closed(self, head: Head) -> bool:
         """Whether a head has refused so often that it can't be open under its epoch."""
         epoch, count = self._refusals.get(head.upstream.id, (head.epoch, 0))
-        return epoch == head.epoch and count >= MISDIRECTED_OFTEN
+        return epoch == head.epoch and count >= MISDIRECTED_THRESHOLD
 
 
 @dataclass(frozen=True)
-class Shortage:
+class ExclusionSummary:
     """Why a request finds no upstream.
 
     Parameters
@@ -93,11 +93,11 @@
 
 
 @dataclass(frozen=True)
-class AwaitedPermit:
+class PermitWait:
     """What came of a request's wait for a permit."""
 
     upstream_id: str
-    is_given: bool
+    is_granted: bool
     waited_s: float
 
 
@@ -121,14 +121,16 @@
         self._cold = cold
         self._permits = permits
         self._clock = clock
-        self._opened: list[Head] = []
+        self._coordinator_heads: list[Head] = []
         self._retiring: frozenset[str] = frozenset()
-        self._told_at = float("-inf")
+        self._reported_at = float("-inf")
         self._misdirected = MisdirectedHeads()
         # Each head as it was chosen last, by its upstream's id.
-        self._chosen: dict[str, Head] = {}
+        self._last_chosen: dict[str, Head] = {}
 
-    def take_told(self, opened: list[Head], retiring: frozenset[str]) -> None:
+    def set_coordinator_heads(
+        self, coordinator_heads: list[Head], retiring: frozenset[str]
+    ) -> None:
         """Take the heads that the coordinator sees open, ahead of this node's own list.
 
         Parameters
@@ -136,63 +138,63 @@
 
         retiring : ids of heads that finish their work and take nothing new.
         """
-        self._opened = opened
+        self._coordinator_heads = coordinator_heads
         self._retiring = retiring
-        self._told_at = self._clock.now()
+        self._reported_at = self._clock.now()
 
-    def opened(self) -> list[Head]:
+    def coordinator_heads(self) -> list[Head]:
         """Return the heads that the coordinator told lately; older word counts no more."""
-        return self._opened if self._is_told_lately() else []
+        return self._coordinator_heads if self._has_recent_report() else []
 
     def count_cold_heads(self, services: Iterable[Service]) -> int:
         """Return how many heads of these services are cold."""
-        heads = [head.upstream for head in self.opened()]
+        heads = [head.upstream for head in self.coordinator_heads()]
         return sum(
             len(self._cold.ids([head for head in heads if head.service == service.name], service))
             for service in services
         )
 
-    def _is_told_lately(self) -> bool:
-        return self._clock.now() - self._told_at < TOLD_FRESH_S
+    def _has_recent_report(self) -> bool:
+        return self._clock.now() - self._reported_at < MAX_REPORT_AGE_S
 
     def choose(
         self,
-        terms: RequestTerms,
+        constraints: RequestConstraints,
         headers: CallerHeaders,
         tried: set[str],
-        shunned_halls: Collection[str] = (),
-        heeds_limits: bool = True,
+        avoided_halls: Collection[str] = (),
+        respects_limits: bool = True,
     ) -> Upstream | None:
         """Return the best upstream that wasn't tried yet.
 
         Parameters
         ==========
 
-        shunned_halls : halls whose upstreams are taken only if there are no others.
-        heeds_limits : ``False`` to learn where the request would go if no upstream had a limit.
+        avoided_halls : halls whose upstreams are taken only if there are no others.
+        respects_limits : ``False`` to learn where the request would go if no upstream had a limit.
         """
-        service = terms.service
+        service = constraints.service
         suspects = self._suspects.current()
         if service.engine is None:
             usable = [u for u in self._usable(service.name) if u.id not in tried]
-            permitted = self._eligibility.permitted(usable, terms, heeds_limits)
-            upstreams = [u for u in permitted if u.hall not in shunned_halls] or permitted
+            permitted = self._eligibility.permitted(usable, constraints, respects_limits)
+            upstreams = [u for u in permitted if u.hall not in avoided_halls] or permitted
             cold = self._cold.ids(upstreams, service)
             return self._router.choose_plain(upstreams, suspects, cold)
         known = [h for h in self.heads(service.name, headers.model) if h.upstream.id not in tried]
-        permitted = self._permitted(known, terms, heeds_limits)
-        heads = [h for h in permitted if h.upstream.hall not in shunned_halls] or permitted
+        permitted = self._permitted(known, constraints, respects_limits)
+        heads = [h for h in permitted if h.upstream.hall not in avoided_halls] or permitted
         cold = self._cold.ids([head.upstream for head in heads], service)
         tokens = headers.prompt_tokens or 0
         head = self._router.choose_head(heads, service.engine, tokens, suspects, cold)
         if head is None:
             return None
-        self._chosen[head.upstream.id] = head
+        self._last_chosen[head.upstream.id] = head
         return head.upstream
 
     async def wait_for_permit(
-        self, terms: RequestTerms, headers: CallerHeaders
-    ) -> AwaitedPermit | None:
+        self, constraints: RequestConstraints, headers: CallerHeaders
+    ) -> PermitWait | None:
         """Ask for a permit if a request would go to an upstream with a limit.
 
         It waits for one if nothing but limits keeps it away from all upstreams; returns what
@@ -200,57 +202,59 @@
         """
         if not self._permits.limits.has_any:
             return None
-        asked = self.choose(terms, headers, set(), heeds_limits=False)
-        if asked is None:
+        resting = self.choose(constraints, headers, set(), respects_limits=False)
+        if resting is None:
             return None
-        self._permits.demand.note_asked(asked.id)
-        if self._permits.may_send(asked.id):
+        self._permits.demand.note_request(resting.id)
+        if self._permits.may_send(resting.id):
             return None
-        if self.choose(terms, headers, set()) is not None:
-            self._permits.demand.note_withheld(asked.id)
+        if self.choose(constraints, headers, set()) is not None:
+            self._permits.demand.note_diverted(resting.id)
             return None
-        if self._permits.are_short(asked.id):
+        if self._permits.are_unavailable(resting.id):
             return None
         began_at = self._clock.now()
-        await self._permits.wait(asked.id)
-        is_given = self._permits.may_send(asked.id)
-        return AwaitedPermit(asked.id, is_given, self._clock.now() - began_at)
+        await self._permits.wait(resting.id)
+        is_granted = self._permits.may_send(resting.id)
+        return PermitWait(resting.id, is_granted, self._clock.now() - began_at)
 
-    def wait_s(self, terms: RequestTerms, upstream_id: str) -> float:
+    def predicted_wait_s(self, constraints: RequestConstraints, upstream_id: str) -> float:
         """Return how long a request is predicted to wait for others at a head that was chosen.
 
         That is 0 at an upstream of a plain service, whose work nothing predicts.
         """
-        head, engine = self._chosen.get(upstream_id), terms.service.engine
+        head, engine = self._last_chosen.get(upstream_id), constraints.service.engine
         if head is None or engine is None:
             return 0.0
-        return self._router.wait_ms(head, engine) / 1000
+        return self._router.predicted_wait_ms(head, engine) / 1000
 
-    def shortage(self, terms: RequestTerms, headers: CallerHeaders, tried: set[str]) -> Shortage:
+    def exclusion_summary(
+        self, constraints: RequestConstraints, headers: CallerHeaders, tried: set[str]
+    ) -> ExclusionSummary:
         """Return why :meth:`choose` finds nothing for a request."""
-        listed = self._listed(terms, headers)
-        return Shortage(
+        listed = self._listed(constraints, headers)
+        return ExclusionSummary(
             len(listed),
             sum(u.id in tried for u in listed),
-            self._eligibility.count_excluded(listed, terms),
+            self._eligibility.count_excluded(listed, constraints),
             tuple(sorted(self._eligibility.evacuated_halls)),
         )
 
-    def rest(self, terms: RequestTerms, headers: CallerHeaders) -> Rest | None:
+    def rest(self, constraints: RequestConstraints, headers: CallerHeaders) -> Rest | None:
         """Return the rest that ends first among the upstreams that could serve a request.
 
         ``None`` if none of them rests, or if another one may serve it now.
         """
-        if self.choose(terms, headers, set()) is not None:
+        if self.choose(constraints, headers, set()) is not None:
             return None
-        rests = [self._eligibility.rest(u) for u in self._listed(terms, headers)]
-        asked = [rest for rest in rests if rest is not None]
-        return min(asked, key=lambda rest: rest.remaining_s, default=None)
+        rests = [self._eligibility.rest(u) for u in self._listed(constraints, headers)]
+        resting = [rest for rest in rests if rest is not None]
+        return min(resting, key=lambda rest: rest.remaining_s, default=None)
 
-    def _listed(self, terms: RequestTerms, headers: CallerHeaders) -> list[Upstream]:
+    def _listed(self, constraints: RequestConstraints, headers: CallerHeaders) -> list[Upstream]:
         """Return the upstreams that serve a request's model or service, whether it may go there."""
-        listed = self._directory.of_service(terms.service.name)
-        if terms.service.engine is None:
+        listed = self._directory.of_service(constraints.service.name)
+        if constraints.service.engine is None:
             return listed
         return [u for u in listed if serves_model(u, headers.model)]
 
@@ -260,17 +264,19 @@
 
     def note_misdirected(self, upstream_id: str) -> None:
         """Note that a head refused a request as not meant for it."""
-        if upstream_id in self._chosen:
-            self._misdirected.note(upstream_id, self._chosen[upstream_id].epoch)
+        if upstream_id in self._last_chosen:
+            self._misdirected.note(upstream_id, self._last_chosen[upstream_id].epoch)
 
-    def note_sent(self, terms: RequestTerms, upstream: Upstream) -> None:
+    def note_sent(self, constraints: RequestConstraints, upstream: Upstream) -> None:
         """Note that a request is about to be sent."""
-        self._cold.note_sent(upstream, terms.service)
+        self._cold.note_sent(upstream, constraints.service)
         self._permits.note_sent(upstream.id)
 
-    def _permitted(self, heads: list[Head], terms: RequestTerms, heeds_limits: bool) -> list[Head]:
+    def _permitted(
+        self, heads: list[Head], constraints: RequestConstraints, respects_limits: bool
+    ) -> list[Head]:
         upstreams = [head.upstream for head in heads]
-        permitted = self._eligibility.permitted(upstreams, terms, heeds_limits)
+        permitted = self._eligibility.permitted(upstreams, constraints, respects_limits)
         ids = {upstream.id for upstream in permitted}
         return [head for head in heads if head.upstream.id in ids]
 
@@ -280,8 +286,8 @@
         heads = {head.upstream.id: head for head in open_heads(usable)}
         usable_ids = {u.id for u in usable}
         # The coordinator knows of a head's pace, and of its opening before others do.
-        heads |= {h.upstream.id: h for h in self.opened() if h.upstream.id in usable_ids}
-        retiring = self._retiring if self._is_told_lately() else frozenset()
+        heads |= {h.upstream.id: h for h in self.coordinator_heads() if h.upstream.id in usable_ids}
+        retiring = self._retiring if self._has_recent_report() else frozenset()
         return [
             head
             for head in heads.values()
--- a/mulleinreach/gateway/known/cold.py
+++ b/mulleinreach/gateway/known/cold.py
@@ -18,19 +18,19 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import Service
 from mulleinreach.gateway.upstream import Upstream
 
 # Seconds over which requests to a cold upstream are counted: its rate is one a second.
-WINDOW_S = 1.0
+RATE_WINDOW_S = 1.0
 # Seconds for which a number counts after the word of the coordinator: long enough for it to
 # find out that the store is away for all nodes (2 s), when nobody can take its place.
-NUMBER_HOLDS_S = 2.5
+NUMBER_VALID_S = 2.5
 # The part of an upstream's rate that one set of numbers gives out; two may count at once.
-SHARE_OF_RATE = 0.5
+RATE_SHARE_PER_NUMBERING = 0.5
 
 
 @dataclass(frozen=True)
@@ -42,16 +42,16 @@
 
     number : counted from 0.
     numbers : how many numbers the set has.
-    told_at : when the coordinator's word on it was asked for.
+    as_of : when the coordinator's word on it was asked for.
     """
 
     number: int
     numbers: int
-    told_at: float
+    as_of: float
 
 
 @dataclass(frozen=True)
-class _Send:
+class _SentRequest:
     """A request that was sent to an upstream."""
 
     upstream_id: str
@@ -99,30 +99,30 @@
     Examples
     ========
 
-    >>> limit = ColdRateLimit(Bounds(cold_ratio=1.0, cold_slack=1.0), Clock(), EventLog("node"))
+    >>> limit = ColdRateLimit(DeploymentBounds(cold_ratio=1.0, cold_slack=1.0), Clock(), EventLog("node"))
     >>> limit.allows("u", 3.0)
     False
     """
 
-    def __init__(self, bounds: Bounds, clock: Clock, log: EventLog):
+    def __init__(self, bounds: DeploymentBounds, clock: Clock, log: EventLog):
         self._bounds = bounds
         self._clock = clock
         self._log = log
         self._number: NodeNumber | None = None
-        self._sends: deque[_Send] = deque()
+        self._sends: deque[_SentRequest] = deque()
         self._sent: Counter[str] = Counter()
 
-    def take_number(self, number: int, numbers: int, told_at: float) -> None:
+    def set_number(self, number: int, numbers: int, as_of: float) -> None:
         """Take this node's number; one that is not below ``numbers`` means that it has none.
 
         Parameters
         ==========
 
-        told_at : a moment before which the coordinator's word can't have been given.
+        as_of : a moment before which the coordinator's word can't have been given.
         """
         if number >= numbers:
             return
-        earlier, self._number = self._number, NodeNumber(number, numbers, told_at)
+        earlier, self._number = self._number, NodeNumber(number, numbers, as_of)
         if earlier is None or (earlier.number, earlier.numbers) != (number, numbers):
             self._log.event("node_numbered", number=number, numbers=numbers)
 
@@ -132,18 +132,18 @@
         if known is None:
             return False
         now = self._clock.now()
-        if now - known.told_at > NUMBER_HOLDS_S:
+        if now - known.as_of > NUMBER_VALID_S:
             return False
-        self._forget_before(now - WINDOW_S)
+        self._forget_before(now - RATE_WINDOW_S)
         bound = rate_per_s * self._bounds.cold_ratio + self._bounds.cold_slack
-        most = quota(upstream_id, SHARE_OF_RATE * bound, known.number, known.numbers)
-        return self._sent[upstream_id] < most
+        allowed = quota(upstream_id, RATE_SHARE_PER_NUMBERING * bound, known.number, known.numbers)
+        return self._sent[upstream_id] < allowed
 
     def note_sent(self, upstream_id: str) -> None:
         """Count a request that is about to be sent."""
         now = self._clock.now()
-        self._forget_before(now - WINDOW_S)
-        self._sends.append(_Send(upstream_id, now))
+        self._forget_before(now - RATE_WINDOW_S)
+        self._sends.append(_SentRequest(upstream_id, now))
         self._sent[upstream_id] += 1
 
     def _forget_before(self, oldest: float) -> None:
@@ -185,7 +185,7 @@
 
     def _halls_taken_back(self, halls: set[str], service: Service) -> set[str]:
         """Return the halls whose upstreams may have gone cold while they were evacuated."""
-        return {h for h in halls if self._evacuations.taken_back_for_s(h) < service.cold_s}
+        return {h for h in halls if self._evacuations.since_taken_back_s(h) < service.cold_s}
 
     def withheld(self, upstreams: Collection[Upstream], service: Service) -> frozenset[str]:
         """Return the ids of those upstreams that are cold and may get no request from here now."""
--- a/mulleinreach/gateway/known/crashes.py
+++ b/mulleinreach/gateway/known/crashes.py
@@ -11,10 +11,10 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.content import format_digest
 from mulleinreach.gateway.known.upstream_ends import (
-    MEMORY_S,
-    MOST_ENDS,
+    MAX_TRACKED_ENDS,
+    OBSERVATION_RETENTION_S,
+    ObservedRun,
     RunOutcome,
-    SeenRun,
     UpstreamEnds,
 )
 from mulleinreach.gateway.model import HeldContent
@@ -22,33 +22,33 @@
 
 # Two ends right after a request had begun aren't chance: of some 200 requests that were cut at 13
 # recorded ends, two besides the culprits had begun and been given nothing, each of them once.
-BEGUN_ENDS = 2
+MIN_ENDS_AFTER_BEGIN = 2
 # Where more requests than that had begun at an upstream that ended, its engine answers before it
 # begins, and the beginning tells nothing. At most two had at recorded ends.
-MOST_BEGINNING = 3
+MAX_BEGUN_REQUESTS = 3
 # Where it doesn't show whether a request had begun, each neighbour looks like the culprit. Sound
 # ones are sent twice in a try; their callers ask once more.
-ENDS = 3
+MIN_ENDS_BEFORE_OUTPUT = 3
 # A stream that had events has shown that its upstream outlives its beginning, and most that lose
 # several upstreams are neighbours of a culprit. One that has lost as many as a try may reach has
 # nothing to lose.
-ENDS_OF_ANY_KIND = 4
+MIN_ENDS_ANY_OUTCOME = 4
 # What ends upstreams today still does in an hour, unless somebody has mended the engine.
 HOLD_S = 3600.0
 # A lost hall ends the replicas of some hundred requests; older sightings give way to newer ones.
-MOST_CONTENTS = 256
+MAX_TRACKED_CONTENTS = 256
 # Four ends are enough to judge by; a sound request that many ask for is run at many upstreams.
-MOST_RUNS = 32
+MAX_RUNS_PER_CONTENT = 32
 # As many as the lease's row holds beside the rest (1 kB).
-MOST_HELD = 64
+MAX_HELD_CONTENTS = 64
 # Sightings that are told again are known by their ids; a run that was served has one, too.
-MOST_IDS = 2 * MOST_ENDS
+MAX_OBSERVATION_IDS = 2 * MAX_TRACKED_ENDS
 # A node tells each sighting in the reports of so many seconds, ten and more: some may be lost.
-TELL_S = 1.0
+REPORT_WINDOW_S = 1.0
 
 
 @dataclass(frozen=True)
-class Sighting:
+class RunObservation:
     """What a node saw of one run.
 
     Parameters
@@ -68,7 +68,7 @@
     ago_s: float
 
 
-class CrashBook:
+class CrashTracker:
     """The sightings that this node knows of, and the requests that are held back for them.
 
     Parameters
@@ -85,10 +85,10 @@
         self._rng = rng
         self._on_held = on_held
         # The content that was seen last stands last.
-        self._seen: dict[int, list[SeenRun]] = {}
+        self._seen: dict[int, list[ObservedRun]] = {}
         self._ends = UpstreamEnds(clock)
-        self._own: deque[SeenRun] = deque(maxlen=MOST_CONTENTS)
-        self._taken_ids: dict[int, None] = {}
+        self._own: deque[ObservedRun] = deque(maxlen=MAX_TRACKED_CONTENTS)
+        self._known_ids: dict[int, None] = {}
         self._held_until: dict[int, float] = {}
 
     def is_held(self, content: int) -> bool:
@@ -104,7 +104,7 @@
             if until > now
         )
 
-    def take_held(self, contents: Iterable[HeldContent], as_of: float | None = None) -> None:
+    def merge_held(self, contents: Iterable[HeldContent], as_of: float | None = None) -> None:
         """Take the contents that another node, or the coordinator's row, tells as held.
 
         Parameters
@@ -124,7 +124,7 @@
     def note_end(self, content: int, upstream: Upstream, outcome: RunOutcome) -> None:
         """Note that an upstream's process ended while it had a request."""
         seen_id, now = self._rng.getrandbits(64), self._clock.now()
-        seen = SeenRun(seen_id, content, upstream.id, upstream.hall, outcome, now)
+        seen = ObservedRun(seen_id, content, upstream.id, upstream.hall, outcome, now)
         self._own.append(seen)
         self._add(seen)
 
@@ -134,42 +134,51 @@
         if known and known[-1].outcome is not RunOutcome.SERVED:
             self.note_end(content, upstream, RunOutcome.SERVED)
 
-    def take(self, sightings: Iterable[Sighting]) -> None:
+    def take(self, sightings: Iterable[RunObservation]) -> None:
         """Take what another node saw, and may have told before."""
         now = self._clock.now()
-        for told in sightings:
-            if told.id in self._taken_ids:
+        for observation in sightings:
+            if observation.id in self._known_ids:
                 continue
-            at = now - told.ago_s
-            self._add(SeenRun(told.id, told.content, told.upstream_id, told.hall, told.outcome, at))
-
-    def own_sightings(self, includes_old: bool) -> list[Sighting]:
+            at = now - observation.ago_s
+            self._add(
+                ObservedRun(
+                    observation.id,
+                    observation.content,
+                    observation.upstream_id,
+                    observation.hall,
+                    observation.outcome,
+                    at,
+                )
+            )
+
+    def own_observations(self, includes_old: bool) -> list[RunObservation]:
         """Return what this node saw itself, lately or ever."""
         now = self._clock.now()
-        oldest = now - (MEMORY_S if includes_old else TELL_S)
-        told = itertools.takewhile(lambda seen: seen.at >= oldest, reversed(self._own))
+        oldest = now - (OBSERVATION_RETENTION_S if includes_old else REPORT_WINDOW_S)
+        observation = itertools.takewhile(lambda seen: seen.at >= oldest, reversed(self._own))
         return [
-            Sighting(s.id, s.content, s.upstream_id, s.hall, s.outcome, now - s.at)
-            for s in reversed(list(told))
+            RunObservation(s.id, s.content, s.upstream_id, s.hall, s.outcome, now - s.at)
+            for s in reversed(list(observation))
         ]
 
-    def _add(self, seen: SeenRun) -> None:
-        self._taken_ids[seen.id] = None
-        if len(self._taken_ids) > MOST_IDS:
-            del self._taken_ids[next(iter(self._taken_ids))]
-        oldest = self._clock.now() - MEMORY_S
+    def _add(self, seen: ObservedRun) -> None:
+        self._known_ids[seen.id] = None
+        if len(self._known_ids) > MAX_OBSERVATION_IDS:
+            del self._known_ids[next(iter(self._known_ids))]
+        oldest = self._clock.now() - OBSERVATION_RETENTION_S
         known = [other for other in self._seen.pop(seen.content, ()) if other.at >= oldest]
-        self._seen[seen.content] = runs = [*known, seen][-MOST_RUNS:]
-        if len(self._seen) > MOST_CONTENTS:
+        self._seen[seen.content] = runs = [*known, seen][-MAX_RUNS_PER_CONTENT:]
+        if len(self._seen) > MAX_TRACKED_CONTENTS:
             del self._seen[next(iter(self._seen))]
         if seen.outcome is RunOutcome.SERVED:
             return
         self._ends.add(seen)
         # Most requests at an upstream that ends have lost no other one.
-        if len(runs) >= BEGUN_ENDS:
-            self._judge(seen.content)
+        if len(runs) >= MIN_ENDS_AFTER_BEGIN:
+            self._hold_if_culprit(seen.content)
 
-    def _judge(self, content: int) -> None:
+    def _hold_if_culprit(self, content: int) -> None:
         """Hold a request if upstreams end under it again and again."""
         known = self._seen[content]
         served_at = max(
@@ -177,27 +186,27 @@
             default=float("-inf"),
         )
         ends = [seen for seen in known if seen.at > served_at]
-        begun = self._count_apart([seen for seen in ends if self._had_begun(seen)])
+        begun = self._count_independent([seen for seen in ends if self._had_begun(seen)])
         early = [seen for seen in ends if seen.outcome is not RunOutcome.ENDED_GIVING]
-        counts = (begun, self._count_apart(early), self._count_apart(ends))
-        limits = (BEGUN_ENDS, ENDS, ENDS_OF_ANY_KIND)
+        counts = (begun, self._count_independent(early), self._count_independent(ends))
+        limits = (MIN_ENDS_AFTER_BEGIN, MIN_ENDS_BEFORE_OUTPUT, MIN_ENDS_ANY_OUTCOME)
         is_culprit = any(count >= limit for count, limit in zip(counts, limits, strict=True))
         if is_culprit and not self.is_held(content):
             until = self._clock.now() + HOLD_S
             self._hold(content, until, is_told=False, begun=begun, ends=counts[-1])
 
-    def _had_begun(self, end: SeenRun) -> bool:
+    def _had_begun(self, end: ObservedRun) -> bool:
         """Whether an upstream ended after it had begun a request, as few others there."""
         if end.outcome is not RunOutcome.ENDED_BEGUN:
             return False
-        return self._ends.count_beginning(end, MOST_BEGINNING + 1) <= MOST_BEGINNING
+        return self._ends.count_begun(end, MAX_BEGUN_REQUESTS + 1) <= MAX_BEGUN_REQUESTS
 
-    def _count_apart(self, ends: list[SeenRun]) -> int:
+    def _count_independent(self, ends: list[ObservedRun]) -> int:
         """Return how many ends under one request a single failure doesn't explain."""
-        counted: list[SeenRun] = []
+        counted: list[ObservedRun] = []
         explained = {end.upstream_id for end in ends}
         for end in sorted(ends, key=lambda seen: seen.at):
-            together = [other for other in counted if other.is_about(end)]
+            together = [other for other in counted if other.is_simultaneous_with(end)]
             is_counted = any(other.upstream_id == end.upstream_id for other in together)
             is_in_hall = any(other.hall == end.hall for other in together)
             if not is_counted and not (is_in_hall and self._ends.is_hall_failing(end, explained)):
@@ -207,7 +216,7 @@
     def _hold(self, content: int, until: float, **reasons: object) -> None:
         self._held_until.pop(content, None)
         self._held_until[content] = until
-        if len(self._held_until) > MOST_HELD:
+        if len(self._held_until) > MAX_HELD_CONTENTS:
             del self._held_until[next(iter(self._held_until))]
         self._log.event("content_held", content=format_digest(content), **reasons)
         self._on_held(content)
--- a/mulleinreach/gateway/known/eligibility.py
+++ b/mulleinreach/gateway/known/eligibility.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.gateway.known.cold import ColdUpstreams
 from mulleinreach.gateway.known.evacuations import Evacuations
-from mulleinreach.gateway.known.notices import NoticeBook, Rest
+from mulleinreach.gateway.known.notices import NoticeTracker, Rest
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import Service
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class RequestTerms:
+class RequestConstraints:
     """What decides on upstreams for one request besides the upstreams themselves.
 
     Parameters
@@ -57,7 +57,7 @@
         self,
         evacuations: Evacuations,
         cold: ColdUpstreams,
-        notices: NoticeBook,
+        notices: NoticeTracker,
         permits: SendPermits,
         regions: Mapping[str, str],
         metrics: GatewayMetrics,
@@ -77,37 +77,39 @@
 
         Whether a hall that is being emptied takes part is drawn anew at each call, by its share.
         """
-        closed = self._closed_halls()
+        closed = self._draw_closed_halls()
         return [u for u in upstreams if self._exclusion(u, closed) is None]
 
     def permitted(
-        self, usable: list[Upstream], terms: RequestTerms, heeds_limits: bool = True
+        self, usable: list[Upstream], constraints: RequestConstraints, respects_limits: bool = True
     ) -> list[Upstream]:
         """Return those usable upstreams that a request may be sent to under its terms.
 
         Parameters
         ==========
 
-        heeds_limits : ``False`` to learn where requests would go if no upstream had a limit.
+        respects_limits : ``False`` to learn where requests would go if no upstream had a limit.
         """
-        withheld = self._cold.withheld(usable, terms.service)
+        withheld = self._cold.withheld(usable, constraints.service)
         if withheld:
             self._metrics.count_withheld(len(withheld))
-        permitted = [u for u in usable if self._exclusion_by_terms(u, terms, withheld) is None]
-        if not (heeds_limits and self._permits.limits.has_any):
+        permitted = [
+            u for u in usable if self._exclusion_by_constraints(u, constraints, withheld) is None
+        ]
+        if not (respects_limits and self._permits.limits.has_any):
             return permitted
         # A limit bounds what all nodes send together, of which this node knows its own part only.
         return [u for u in permitted if self._permits.may_send(u.id)]
 
     def count_excluded(
-        self, upstreams: Collection[Upstream], terms: RequestTerms
+        self, upstreams: Collection[Upstream], constraints: RequestConstraints
     ) -> Counter[Exclusion]:
         """Return how many upstreams may not be sent a request, by the reason."""
-        closed = self._closed_halls()
-        withheld = self._cold.withheld(upstreams, terms.service)
+        closed = self._draw_closed_halls()
+        withheld = self._cold.withheld(upstreams, constraints.service)
         reasons = (
             self._exclusion(upstream, closed)
-            or self._exclusion_by_terms(upstream, terms, withheld)
+            or self._exclusion_by_constraints(upstream, constraints, withheld)
             or (None if self._permits.may_send(upstream.id) else Exclusion.LIMITED)
             for upstream in upstreams
         )
@@ -136,16 +138,19 @@
             return Exclusion.RESTING
         return None
 
-    def _exclusion_by_terms(
-        self, upstream: Upstream, terms: RequestTerms, withheld: frozenset[str]
+    def _exclusion_by_constraints(
+        self, upstream: Upstream, constraints: RequestConstraints, withheld: frozenset[str]
     ) -> Exclusion | None:
-        if terms.homes is not None and self._regions.get(upstream.hall) not in terms.homes:
+        if (
+            constraints.homes is not None
+            and self._regions.get(upstream.hall) not in constraints.homes
+        ):
             return Exclusion.ABROAD
         if upstream.id in withheld:
             return Exclusion.COLD
         return None
 
-    def _closed_halls(self) -> frozenset[str]:
+    def _draw_closed_halls(self) -> frozenset[str]:
         """Draw which evacuated halls are left out this time, each by the share that it lost."""
         return frozenset(
             hall
--- a/mulleinreach/gateway/known/evacuations.py
+++ b/mulleinreach/gateway/known/evacuations.py
@@ -28,9 +28,9 @@
 
 # The part of the bound in which a hall's share of the requests falls to nothing. The rest
 # is for requests on their way and for nodes that hear of it late.
-EMPTYING_PART = 0.5
+RAMP_DOWN_FRACTION = 0.5
 # For so long a request holds that a restored store lacks.
-REWRITTEN_S = 3.0
+UNCONFIRMED_KEPT_S = 3.0
 NEVER = float("-inf")
 
 
@@ -42,15 +42,15 @@
     ==========
 
     known_at : when this node heard of the request; the hall's share falls from then on.
-    ends_at : from when on the hall gets nothing.
-    is_logged : whether the log tells that it gets nothing more.
+    closed_at : from when on the hall gets nothing.
+    is_closure_logged : whether the log tells that it gets nothing more.
     unconfirmed_until : until when the request holds though the store lacks it; ``None`` if it
         stands there.
     """
 
     known_at: float
-    ends_at: float
-    is_logged: bool = False
+    closed_at: float
+    is_closure_logged: bool = False
     unconfirmed_until: float | None = None
 
 
@@ -67,7 +67,7 @@
     ========
 
     >>> halls = Evacuations(5.0, ("a", "b"), Clock(), EventLog("node"))
-    >>> halls.take_rows([EvacuationRow("a", 0)], True, 9, unproven_since=NEVER)
+    >>> halls.apply_rows([EvacuationRow("a", 0)], True, 9, unproven_since=NEVER)
     >>> sorted(halls.halls), halls.share("a")
     ([], 1.0)
     >>> halls.rows()
@@ -78,7 +78,7 @@
         self._bound_s = bound_s
         self._clock = clock
         self._log = log
-        self._named = frozenset(halls)
+        self._configured = frozenset(halls)
         self._versions: dict[str, int] = {}
         self._evacuated: dict[str, _Evacuation] = {}
         self._taken_back_at: dict[str, float] = {}
@@ -93,31 +93,31 @@
 
     def rows(self) -> tuple[EvacuationRow, ...]:
         """Return the rows of all halls, as this node has read them itself."""
-        names = sorted(self._named | self._versions.keys())
+        names = sorted(self._configured | self._versions.keys())
         return tuple(EvacuationRow(hall, self._versions.get(hall, 0)) for hall in names)
 
-    def take_rows(
-        self, rows: Iterable[EvacuationRow], is_whole: bool, revision: int, unproven_since: float
+    def apply_rows(
+        self, rows: Iterable[EvacuationRow], is_complete: bool, revision: int, unproven_since: float
     ) -> None:
         """Take what this node has read.
 
         Parameters
         ==========
 
-        is_whole : whether halls that aren't named have no request.
+        is_complete : whether halls that aren't named have no request.
         revision : the store's revision that was read; the rows of an earlier one change nothing.
         unproven_since : the latest moment that what was known so far is proved for.
         """
-        if is_whole:
+        if is_complete:
             self._versions.clear()
         for row in rows:
             self._versions[row.hall] = row.version
         if revision >= self.revision:
-            asked = frozenset(hall for hall, version in self._versions.items() if version)
-            self._take(asked, revision, unproven_since)
-            self._confirm(asked)
+            evacuated = frozenset(hall for hall, version in self._versions.items() if version)
+            self._apply(evacuated, revision, unproven_since)
+            self._confirm(evacuated)
 
-    def take_passed(self, halls: frozenset[str], revision: int, unproven_since: float) -> bool:
+    def apply_published(self, halls: frozenset[str], revision: int, unproven_since: float) -> bool:
         """Take what the coordinator knows; returns whether this node knows the same now.
 
         Parameters
@@ -128,15 +128,15 @@
         """
         if revision >= self.revision:
             # A coordinator is told its own word too, which confirms nothing.
-            is_news = revision > self.revision
-            self._take(halls, revision, unproven_since)
-            if is_news:
+            is_newer = revision > self.revision
+            self._apply(halls, revision, unproven_since)
+            if is_newer:
                 self._confirm(halls)
         return halls == self.halls
 
-    def _take(self, halls: frozenset[str], revision: int, unproven_since: float) -> None:
+    def _apply(self, halls: frozenset[str], revision: int, unproven_since: float) -> None:
         if era_of(revision) > era_of(self.revision):
-            self._doubt(self.halls - halls)
+            self._mark_unconfirmed(self.halls - halls)
         self.revision = revision
         for hall in sorted(halls - self.halls):
             self._begin(hall, unproven_since)
@@ -149,11 +149,11 @@
         for hall in halls:
             self._evacuated[hall].unconfirmed_until = None
 
-    def _doubt(self, halls: frozenset[str]) -> None:
+    def _mark_unconfirmed(self, halls: frozenset[str]) -> None:
         """Keep requests for a while that a restored store lacks."""
         for hall in sorted(halls):
-            self._evacuated[hall].unconfirmed_until = self._clock.now() + REWRITTEN_S
-            self._log.event("evacuation_unconfirmed", hall=hall, holds_for_s=REWRITTEN_S)
+            self._evacuated[hall].unconfirmed_until = self._clock.now() + UNCONFIRMED_KEPT_S
+            self._log.event("evacuation_unconfirmed", hall=hall, holds_for_s=UNCONFIRMED_KEPT_S)
 
     def _end_unconfirmed(self) -> None:
         """End requests that nobody has written again."""
@@ -164,17 +164,17 @@
 
     def _begin(self, hall: str, unproven_since: float) -> None:
         now = self._clock.now()
-        if hall not in self._named:
+        if hall not in self._configured:
             # Renewals of the lease prove nothing about a hall that they don't name.
             unproven_since = NEVER
-        ends_at = max(now, unproven_since + EMPTYING_PART * self._bound_s)
-        self._evacuated[hall] = _Evacuation(now, ends_at)
+        closed_at = max(now, unproven_since + RAMP_DOWN_FRACTION * self._bound_s)
+        self._evacuated[hall] = _Evacuation(now, closed_at)
         self._log.event(
             "hall_evacuated",
             hall=hall,
-            known=hall in self._named,
+            known=hall in self._configured,
             unproven_for_s=round(now - unproven_since, 2),
-            nothing_more_in_s=round(ends_at - now, 2),
+            nothing_more_in_s=round(closed_at - now, 2),
         )
 
     def _end(self, hall: str) -> None:
@@ -191,14 +191,14 @@
         if evacuation is None:
             return 1.0
         now = self._clock.now()
-        if now < evacuation.ends_at:
-            return (evacuation.ends_at - now) / (evacuation.ends_at - evacuation.known_at)
-        if not evacuation.is_logged:
-            evacuation.is_logged = True
+        if now < evacuation.closed_at:
+            return (evacuation.closed_at - now) / (evacuation.closed_at - evacuation.known_at)
+        if not evacuation.is_closure_logged:
+            evacuation.is_closure_logged = True
             after_s = round(now - evacuation.known_at, 2)
             self._log.event("hall_gets_nothing_more", hall=hall, known_for_s=after_s)
         return 0.0
 
-    def taken_back_for_s(self, hall: str) -> float:
+    def since_taken_back_s(self, hall: str) -> float:
         """Return how long ago a hall was taken back; infinite if it never was."""
         return self._clock.now() - self._taken_back_at.get(hall, NEVER)
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/known/following.py
@@ -18,8 +18,8 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.reading import (
-    CHECK_S,
-    ReadingTurn,
+    CHECK_INTERVAL_S,
+    DirectReadSchedule,
     SourceState,
     wait_for,
     wait_for_coordinator,
@@ -33,7 +33,7 @@
 )
 from mulleinreach.gateway.revision import format_revision
 
-OLDER_ANSWER_PAUSE_S = 0.15
+STALE_ANSWER_PAUSE_S = 0.15
 NEVER = float("-inf")
 
 
@@ -44,9 +44,9 @@
     ==========
 
     evacuations : the halls that operators have asked to empty.
-    reads_always : whether this node reads for the others. Another node reads only
+    is_reader : whether this node reads for the others. Another node reads only
         when it has no evidence that is passed on to it and young enough.
-    turn : when another node reads.
+    schedule : when another node reads.
     """
 
     def __init__(
@@ -55,28 +55,28 @@
         evacuations: Evacuations,
         clock: Clock,
         log: EventLog,
-        reads_always: Callable[[], bool],
-        turn: ReadingTurn,
+        is_reader: Callable[[], bool],
+        schedule: DirectReadSchedule,
     ):
         self._source = source
         self.evacuations = evacuations
         self._clock = clock
         self._log = log
-        self._reads_always = reads_always
-        self._turn = turn
-        self._state = SourceState("configuration", log, reads_always)
+        self._is_reader = is_reader
+        self._schedule = schedule
+        self._state = SourceState("configuration", log, is_reader)
         self._revision: int | None = None
         self._known_version = 0
         # The version of the configuration's row in the store, as far as it was read here.
         self._row_version: int | None = None
         # Whether the store holds an older configuration than the one in force.
-        self._is_behind = False
-        self._passed_on = asyncio.Event()
+        self._is_store_outdated = False
+        self._newer_announced = asyncio.Event()
         self.was_read = asyncio.Event()
         self.configuration: Configuration | None = None
         self.document = b""
         self.evidence_at = NEVER
-        self._store_away_at = NEVER
+        self._store_unreachable_at = NEVER
 
     @property
     def version(self) -> int:
@@ -93,13 +93,13 @@
         """Return the age of the latest proof that operators have written nothing newer."""
         return self._clock.now() - self.evidence_at
 
-    def note_store_away(self, seen_at: float) -> None:
+    def note_store_unreachable(self, seen_at: float) -> None:
         """Note that no node could read the store at a moment."""
-        self._store_away_at = max(self._store_away_at, seen_at)
+        self._store_unreachable_at = max(self._store_unreachable_at, seen_at)
 
-    def store_away_age_s(self) -> float:
+    def store_unreachable_age_s(self) -> float:
         """Return how long ago no node could read the store, as far as known."""
-        return self._clock.now() - self._store_away_at
+        return self._clock.now() - self._store_unreachable_at
 
     def take_passed(
         self,
@@ -121,14 +121,14 @@
         """
         is_agreed = self.evacuations.take_passed(evacuated, revision, self.evidence_at)
         if version > self.version and document:
-            self._take_document(document)
+            self._apply_document(document)
         if version > self.version:
             self._known_version = version
-            self._passed_on.set()
+            self._newer_announced.set()
         elif version == self.version and is_agreed:
             self.evidence_at = max(self.evidence_at, evidence_at)
 
-    def _take_document(self, document: bytes) -> None:
+    def _apply_document(self, document: bytes) -> None:
         configuration = self._source.decode(document)
         if configuration is not None:
             self._apply(configuration, document)
@@ -136,49 +136,49 @@
 
     async def follow(self) -> None:
         """Read for ever, as far as evidence isn't passed on."""
-        await wait_for_coordinator(self.was_read, self._turn, self._reads_always)
+        await wait_for_coordinator(self.was_read, self._schedule, self._is_reader)
         while True:
             if self._must_read():
                 await self.read_once()
                 continue
-            self._passed_on.clear()
-            await wait_for(self._passed_on, CHECK_S)
+            self._newer_announced.clear()
+            await wait_for(self._newer_announced, CHECK_INTERVAL_S)
 
     def _must_read(self) -> bool:
-        if self._reads_always() or self._known_version > self.version:
+        if self._is_reader() or self._known_version > self.version:
             return True
-        return self._turn.is_due(self.evidence_age_s())
+        return self._schedule.is_due(self.evidence_age_s())
 
     async def read_once(self) -> None:
         """Read, or wait for a change, and take in the answer."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         if self._revision is None:
             result = await self._source.read()
         else:
             result = await self._source.wait(self._revision, self._state.wait_s())
         if isinstance(result, ConfigurationRead):
-            if not self._take(result, asked_at):
-                await asyncio.sleep(OLDER_ANSWER_PAUSE_S)
+            if not self._apply_answer(result, requested_at):
+                await asyncio.sleep(STALE_ANSWER_PAUSE_S)
         elif isinstance(result, HistoryLost):
             self._revision = None
         else:
-            self._state.lost(result.reason)
+            self._state.record_failure(result.reason)
 
-    async def read_anew(self) -> None:
+    async def read_now(self) -> None:
         """Read the configuration now, beside a wait that may be under way."""
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         result = await self._source.read()
         if isinstance(result, ConfigurationRead):
-            self._take(result, asked_at)
+            self._apply_answer(result, requested_at)
         else:
-            self._state.lost(result.reason)
+            self._state.record_failure(result.reason)
 
-    def confirm(self, rows: OperatorRows | None, asked_at: float) -> None:
+    def confirm(self, rows: OperatorRows | None, requested_at: float) -> None:
         """Take in that the operators' rows had these versions at a moment."""
         if rows is not None and rows == self.operator_rows():
-            self.evidence_at = max(self.evidence_at, asked_at)
+            self.evidence_at = max(self.evidence_at, requested_at)
 
-    def _take(self, result: ConfigurationRead, asked_at: float) -> bool:
+    def _apply_answer(self, result: ConfigurationRead, requested_at: float) -> bool:
         """Take an answer in, unless a newer one is known; returns whether it was taken."""
         if self._revision is not None and result.revision < self._revision:
             self._log.event(
@@ -189,17 +189,17 @@
                 known=format_revision(self._revision),
             )
             return False
-        self._state.answered()
+        self._state.record_answer()
         self._revision = result.revision
-        self.evacuations.take_rows(
+        self.evacuations.apply_rows(
             result.evacuations, result.is_whole, result.revision, self.evidence_at
         )
         if result.configuration is not None:
             self._apply(result.configuration, result.document)
-            self._is_behind = result.configuration.version < self.version
-            self._row_version = None if self._is_behind else result.row_version
-        if not self._is_behind:
-            self.evidence_at = max(self.evidence_at, asked_at)
+            self._is_store_outdated = result.configuration.version < self.version
+            self._row_version = None if self._is_store_outdated else result.row_version
+        if not self._is_store_outdated:
+            self.evidence_at = max(self.evidence_at, requested_at)
         if self.configuration is not None:
             self.was_read.set()
         return True
--- a/mulleinreach/gateway/known/load.py
+++ b/mulleinreach/gateway/known/load.py
@@ -7,13 +7,13 @@
 from mulleinreach.common import Clock
 
 # For so long a report names an upstream that gave bytes and has no request in flight any more.
-PROGRESS_MEMORY_S = 0.6
+PROGRESS_KEPT_S = 0.6
 # The silence of an upstream that has given no byte yet: so long that the age of its oldest
 # request alone tells for how long it has stood still.
-NO_PROGRESS_S = 1000.0
+NO_PROGRESS_SILENT_S = 1000.0
 # What other nodes had in flight is passed on each tenth of a second; older word than this
 # says little.
-TOLD_FRESH_S = 1.0
+MAX_TOTALS_AGE_S = 1.0
 
 
 @dataclass(frozen=True)
@@ -46,7 +46,7 @@
         return min(self.silent_s, self.oldest_s)
 
 
-class Ticket:
+class InFlightRequest:
     """One request in flight at an upstream.
 
     Parameters
@@ -57,13 +57,13 @@
 
     def __init__(
         self,
-        book: LoadBook,
+        tracker: LoadTracker,
         upstream_id: str,
         prompt_tokens: int,
         started_at: float,
         stands_back: bool = False,
     ):
-        self._book = book
+        self._tracker = tracker
         self.upstream_id = upstream_id
         # What stands back is read when nothing else waits, so nothing waits for it.
         self.pending_tokens = 0 if stands_back else prompt_tokens
@@ -73,7 +73,7 @@
 
     def progress(self) -> None:
         """Note that the upstream gave bytes of the answer."""
-        self._book.note_progress(self.upstream_id)
+        self._tracker.note_progress(self.upstream_id)
         self.pending_tokens = 0
         self.stands_back = False
 
@@ -81,24 +81,26 @@
         """The request is no longer in flight; a second call does nothing."""
         if not self.is_finished:
             self.is_finished = True
-            self._book.remove(self)
+            self._tracker.remove(self)
 
 
-class LoadBook:
+class LoadTracker:
     """The requests that this node has in flight, and the latest totals of all nodes."""
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._tickets: dict[str, list[Ticket]] = {}
+        self._in_flight: dict[str, list[InFlightRequest]] = {}
         self._others: dict[str, LoadReport] = {}
-        self._told_at = float("-inf")
+        self._totals_at = float("-inf")
         self._progress_at: dict[str, float] = {}
 
     def now(self) -> float:
         """Return the time on the book's clock."""
         return self._clock.now()
 
-    def start(self, upstream_id: str, prompt_tokens: int = 0, stands_back: bool = False) -> Ticket:
+    def start(
+        self, upstream_id: str, prompt_tokens: int = 0, stands_back: bool = False
+    ) -> InFlightRequest:
         """Note a request that is about to be sent.
 
         Parameters
@@ -106,16 +108,16 @@
 
         stands_back : whether it goes with the lowest priority, so that others don't wait for it.
         """
-        ticket = Ticket(self, upstream_id, prompt_tokens, self.now(), stands_back)
-        self._tickets.setdefault(upstream_id, []).append(ticket)
-        return ticket
+        request = InFlightRequest(self, upstream_id, prompt_tokens, self.now(), stands_back)
+        self._in_flight.setdefault(upstream_id, []).append(request)
+        return request
 
-    def remove(self, ticket: Ticket) -> None:
+    def remove(self, request: InFlightRequest) -> None:
         """Take a finished request out."""
-        tickets = self._tickets[ticket.upstream_id]
-        tickets.remove(ticket)
-        if not tickets:
-            del self._tickets[ticket.upstream_id]
+        in_flight = self._in_flight[request.upstream_id]
+        in_flight.remove(request)
+        if not in_flight:
+            del self._in_flight[request.upstream_id]
 
     def note_progress(self, upstream_id: str) -> None:
         """Note that an upstream gave a byte of an answer."""
@@ -124,30 +126,30 @@
     def own_reports(self) -> list[LoadReport]:
         """Return what this node has in flight, and who has answered lately."""
         now = self.now()
-        recent = {u: at for u, at in self._progress_at.items() if now - at < PROGRESS_MEMORY_S}
+        recent = {u: at for u, at in self._progress_at.items() if now - at < PROGRESS_KEPT_S}
         self._progress_at = recent | {
-            u: at for u, at in self._progress_at.items() if u in self._tickets
+            u: at for u, at in self._progress_at.items() if u in self._in_flight
         }
-        return [self.own_report(u, now) for u in {**recent, **self._tickets}]
+        return [self.own_report(u, now) for u in {**recent, **self._in_flight}]
 
     def own_report(self, upstream_id: str, now: float) -> LoadReport:
         """Return what this node has in flight at one upstream."""
-        tickets = self._tickets.get(upstream_id, ())
-        pending = sum(ticket.pending_tokens for ticket in tickets)
-        silent_s = now - self._progress_at.get(upstream_id, now - NO_PROGRESS_S)
-        oldest_s = max((now - ticket.started_at for ticket in tickets), default=0.0)
-        standing_back = sum(ticket.stands_back for ticket in tickets)
-        return LoadReport(upstream_id, len(tickets), pending, silent_s, oldest_s, standing_back)
+        in_flight = self._in_flight.get(upstream_id, ())
+        pending = sum(request.pending_tokens for request in in_flight)
+        silent_s = now - self._progress_at.get(upstream_id, now - NO_PROGRESS_SILENT_S)
+        oldest_s = max((now - request.started_at for request in in_flight), default=0.0)
+        standing_back = sum(request.stands_back for request in in_flight)
+        return LoadReport(upstream_id, len(in_flight), pending, silent_s, oldest_s, standing_back)
 
     def stalled_s(self, upstream_id: str) -> float:
         """Return for how long our requests at an upstream have stood still."""
         return self.own_report(upstream_id, self.now()).stalled_s
 
-    def is_told_lately(self) -> bool:
+    def has_recent_totals(self) -> bool:
         """Whether the load that other nodes put on upstreams is known."""
-        return self.now() - self._told_at <= TOLD_FRESH_S
+        return self.now() - self._totals_at <= MAX_TOTALS_AGE_S
 
-    def known_stalled_s(self, upstream_id: str) -> float:
+    def stalled_s_all_nodes(self, upstream_id: str) -> float:
         """Return for how long requests of all nodes at an upstream have stood still.
 
         What others saw is some tenths of a second old. A byte that came to this node
@@ -155,27 +157,27 @@
         """
         now = self.now()
         own = self.own_report(upstream_id, now)
-        told = self._others.get(upstream_id)
-        if told is None or not self.is_told_lately():
+        others = self._others.get(upstream_id)
+        if others is None or not self.has_recent_totals():
             return own.stalled_s
-        told_ago_s = now - self._told_at
-        silent_s = min(own.silent_s, told.silent_s + told_ago_s)
-        oldest_s = max(own.oldest_s, told.oldest_s + told_ago_s)
+        totals_age_s = now - self._totals_at
+        silent_s = min(own.silent_s, others.silent_s + totals_age_s)
+        oldest_s = max(own.oldest_s, others.oldest_s + totals_age_s)
         return min(silent_s, oldest_s)
 
-    def take_totals(self, totals: list[LoadReport], own: list[LoadReport]) -> None:
+    def update_totals(self, totals: list[LoadReport], own: list[LoadReport]) -> None:
         """Take the load of all nodes, of which ``own`` is what this node had reported."""
-        self._told_at = self.now()
+        self._totals_at = self.now()
         own_running = {report.upstream_id: report for report in own}
         self._others = {
-            total.upstream_id: _without(total, own_running.get(total.upstream_id))
+            total.upstream_id: _subtract(total, own_running.get(total.upstream_id))
             for total in totals
         }
 
     def running(self, upstream_id: str) -> int:
         """Return the requests in flight at an upstream from all nodes, as known."""
         others = self._others.get(upstream_id)
-        own = len(self._tickets.get(upstream_id, ()))
+        own = len(self._in_flight.get(upstream_id, ()))
         return own + (others.running if others else 0)
 
     def running_ahead(self, upstream_id: str) -> int:
@@ -185,17 +187,17 @@
     def standing_back(self, upstream_id: str) -> int:
         """Return the requests at an upstream that let others go first, as known."""
         others = self._others.get(upstream_id)
-        own = sum(ticket.stands_back for ticket in self._tickets.get(upstream_id, ()))
+        own = sum(request.stands_back for request in self._in_flight.get(upstream_id, ()))
         return own + (others.standing_back if others else 0)
 
     def pending_tokens(self, upstream_id: str) -> int:
         """Return the prompt tokens that wait at an upstream, as known."""
         others = self._others.get(upstream_id)
-        own = sum(ticket.pending_tokens for ticket in self._tickets.get(upstream_id, ()))
+        own = sum(request.pending_tokens for request in self._in_flight.get(upstream_id, ()))
         return own + (others.pending_tokens if others else 0)
 
 
-def _without(total: LoadReport, own: LoadReport | None) -> LoadReport:
+def _subtract(total: LoadReport, own: LoadReport | None) -> LoadReport:
     """Return a total less one node's part of it."""
     if own is None:
         return total
--- a/mulleinreach/gateway/known/notices.py
+++ b/mulleinreach/gateway/known/notices.py
@@ -24,20 +24,20 @@
     Parameters
     ==========
 
-    asked_s : how long it was to be when it was asked for.
+    requested_s : how long it was to be when it was asked for.
     """
 
     remaining_s: float
-    asked_s: float
+    requested_s: float
 
 
 @dataclass(frozen=True)
-class _AskedRest:
+class _RequestedRest:
     until: float
     rest_s: float
 
 
-class NoticeBook:
+class NoticeTracker:
     """Keeps for how long upstreams want nothing, and tells the list which of them leave.
 
     Parameters
@@ -58,42 +58,42 @@
         self._log = log
         self._on_leaving = on_leaving
         # By the id of a start: a later one has asked for nothing.
-        self._rests: dict[str, _AskedRest] = {}
+        self._rests: dict[str, _RequestedRest] = {}
 
-    def take(self, upstream: Upstream, notice: Notice) -> None:
+    def record(self, upstream: Upstream, notice: Notice) -> None:
         """Take what an answer says of the upstream that gave it."""
-        is_news = notice.is_leaving and self._directory.note_leaving(upstream.id)
+        is_newly_leaving = notice.is_leaving and self._directory.mark_leaving(upstream.id)
         if notice.rest_s:
             self._note_rest(upstream.id, notice.rest_s)
-        if is_news or notice.rest_s:
+        if is_newly_leaving or notice.rest_s:
             self._log.event(
                 "upstream_notice",
                 upstream=upstream.id,
                 leaving=notice.is_leaving,
                 rest_s=notice.rest_s,
             )
-        if is_news:
+        if is_newly_leaving:
             self._on_leaving()
 
     def _note_rest(self, upstream_id: str, rest_s: float) -> None:
         now = self._clock.now()
-        asked = _AskedRest(now + rest_s, rest_s)
+        requested = _RequestedRest(now + rest_s, rest_s)
         resting = {u: rest for u, rest in self._rests.items() if rest.until > now}
-        before = resting.get(upstream_id, asked)
+        earlier = resting.get(upstream_id, requested)
         # What was asked for before still holds, if it ends later.
-        self._rests = {**resting, upstream_id: max(asked, before, key=lambda rest: rest.until)}
+        self._rests = {**resting, upstream_id: max(requested, earlier, key=lambda rest: rest.until)}
 
     def rest(self, upstream_id: str) -> Rest | None:
-        """Return the rest that an upstream has asked this node for, ``None`` if that is over."""
+        """Return the rest that an upstream has requested this node for, ``None`` if that is over."""
         if not self.is_resting(upstream_id):
             return None
-        asked = self._rests[upstream_id]
-        return Rest(asked.until - self._clock.now(), asked.rest_s)
+        requested = self._rests[upstream_id]
+        return Rest(requested.until - self._clock.now(), requested.rest_s)
 
     def is_resting(self, upstream_id: str) -> bool:
         """Whether an upstream wants nothing from this node now."""
-        asked = self._rests.get(upstream_id)
-        return asked is not None and asked.until > self._clock.now()
+        requested = self._rests.get(upstream_id)
+        return requested is not None and requested.until > self._clock.now()
 
     def resting(self) -> list[str]:
         """Return the ids of the upstreams that want nothing from this node now."""
--- a/mulleinreach/gateway/known/routing.py
+++ b/mulleinreach/gateway/known/routing.py
@@ -5,33 +5,33 @@
 import random
 from collections.abc import Set
 
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.model import EngineProfile
 from mulleinreach.gateway.upstream import Upstream
 
 # What each request that finds no free place adds to the predicted time, whatever the engine.
-FULL_PENALTY_MS = 100.0
+QUEUED_PENALTY_MS = 100.0
 # The better of two heads against one that is drawn: 0.045 and 0.085 of a day's worth on two
 # sites (ten days each).
-CHOICES = 2
+COMPARED_HEADS = 2
 # A few more are drawn, in case some of them stand still.
-DRAWN = 5
+SAMPLED_HEADS = 5
 # The pause between two events of a sound head is a small part of this.
-STALLED_S = 0.25
+STALL_THRESHOLD_S = 0.25
 # What it costs to use another hall: a head there is taken if its first event is predicted
 # to come so much sooner (four to seven requests fewer), a plain upstream if it runs so
 # many requests fewer. Without either, a day is worth 0.007 less on two sites (ten days each),
 # and 0.01 to 0.02 on one whose dearest price is bytes between halls.
-OTHER_HALL_MS = 10.0
-OTHER_HALL_REQUESTS = 1
+OTHER_HALL_PENALTY_MS = 10.0
+OTHER_HALL_PENALTY_REQUESTS = 1
 # What a cold upstream costs beside its requests, for as long as it is slow: it is left alone
 # while others have room, and still takes work from a full service.
-COLD_MS = 30.0
-COLD_REQUESTS = 2
+COLD_PENALTY_MS = 30.0
+COLD_PENALTY_REQUESTS = 2
 # What each request at a head costs that stands back there: one that is sent next doesn't wait
 # for it, but it waits for that one, so such requests should not gather at one head.
-STANDING_BACK_MS = 20.0
+STANDING_BACK_PENALTY_MS = 20.0
 
 
 def predict_first_event_ms(
@@ -57,7 +57,7 @@
     reading_ms = (pending_tokens + prompt_tokens) * 1000 / profile.read_tokens_per_s
     step_ms = profile.step_ms + profile.per_sequence_ms * (running + 1)
     waiting = max(0, running + 1 - profile.slots)
-    return pace * (reading_ms + profile.stride * step_ms + waiting * FULL_PENALTY_MS)
+    return pace * (reading_ms + profile.stride * step_ms + waiting * QUEUED_PENALTY_MS)
 
 
 def _pace(head: Head, profile: EngineProfile) -> float:
@@ -89,7 +89,7 @@
     .. [1] Mitzenmacher, "How useful is old information?", 2000.
     """
 
-    def __init__(self, loads: LoadBook, rng: random.Random, hall: str = ""):
+    def __init__(self, loads: LoadTracker, rng: random.Random, hall: str = ""):
         self._loads = loads
         self._rng = rng
         self._hall = hall
@@ -113,31 +113,40 @@
         suspects : the ids of upstreams that failed a request lately.
         cold : the ids of cold upstreams.
         """
-        trusted = [head for head in heads if head.upstream.id not in suspects] or heads
-        near = self._draw([head for head in trusted if self._is_near(head.upstream)], 1)
-        drawn = near + self._draw(trusted, CHOICES - len(near))
+        candidates = [head for head in heads if head.upstream.id not in suspects] or heads
+        local = self._sample([head for head in candidates if self._is_local(head.upstream)], 1)
+        sampled = local + self._sample(candidates, COMPARED_HEADS - len(local))
 
         def cost_ms(head: Head) -> float:
-            distance_ms = 0.0 if self._is_near(head.upstream) else OTHER_HALL_MS
-            cold_ms = COLD_MS if head.upstream.id in cold else 0.0
-            back_ms = STANDING_BACK_MS * self._loads.standing_back(head.upstream.id)
-            return distance_ms + cold_ms + back_ms + self.predict(head, profile, prompt_tokens)
-
-        return min(drawn, key=cost_ms, default=None)
-
-    def _draw(self, heads: list[Head], count: int) -> list[Head]:
+            other_hall_ms = 0.0 if self._is_local(head.upstream) else OTHER_HALL_PENALTY_MS
+            cold_ms = COLD_PENALTY_MS if head.upstream.id in cold else 0.0
+            standing_back_ms = STANDING_BACK_PENALTY_MS * self._loads.standing_back(
+                head.upstream.id
+            )
+            return (
+                other_hall_ms
+                + cold_ms
+                + standing_back_ms
+                + self.predicted_first_event_ms(head, profile, prompt_tokens)
+            )
+
+        return min(sampled, key=cost_ms, default=None)
+
+    def _sample(self, heads: list[Head], count: int) -> list[Head]:
         """Return some heads, those that stand still only if nearly all do."""
-        drawn = self._rng.sample(heads, min(DRAWN, len(heads)))
-        sound = [head for head in drawn if not self._is_stalled(head)] or drawn
-        return sound[:count]
+        sampled = self._rng.sample(heads, min(SAMPLED_HEADS, len(heads)))
+        working = [head for head in sampled if not self._is_stalled(head)] or sampled
+        return working[:count]
 
-    def _is_near(self, upstream: Upstream) -> bool:
+    def _is_local(self, upstream: Upstream) -> bool:
         return upstream.hall == self._hall
 
     def _is_stalled(self, head: Head) -> bool:
-        return self._loads.known_stalled_s(head.upstream.id) > STALLED_S
+        return self._loads.stalled_s_all_nodes(head.upstream.id) > STALL_THRESHOLD_S
 
-    def predict(self, head: Head, profile: EngineProfile, prompt_tokens: int) -> float:
+    def predicted_first_event_ms(
+        self, head: Head, profile: EngineProfile, prompt_tokens: int
+    ) -> float:
         """Return the predicted milliseconds to a request's first event at a head."""
         return predict_first_event_ms(
             profile,
@@ -147,14 +156,14 @@
             prompt_tokens,
         )
 
-    def wait_ms(self, head: Head, profile: EngineProfile) -> float:
+    def predicted_wait_ms(self, head: Head, profile: EngineProfile) -> float:
         """Return how much of the time to a first event at a head is due to requests before.
 
         What the request's own prompt takes is not counted, so a long one doesn't stand back
         at an idle head.
         """
         idle_ms = predict_first_event_ms(profile, _pace(head, profile), 0, 0, 0)
-        return self.predict(head, profile, 0) - idle_ms
+        return self.predicted_first_event_ms(head, profile, 0) - idle_ms
 
     def choose_plain(
         self, upstreams: list[Upstream], suspects: set[str], cold: Set[str] = frozenset()
@@ -162,10 +171,10 @@
         """Return a plain service's upstream with the most room, unless it is suspect."""
 
         def cost(upstream: Upstream) -> tuple:
-            distance = 0 if self._is_near(upstream) else OTHER_HALL_REQUESTS
-            coldness = COLD_REQUESTS if upstream.id in cold else 0
+            other_hall_requests = 0 if self._is_local(upstream) else OTHER_HALL_PENALTY_REQUESTS
+            cold_requests = COLD_PENALTY_REQUESTS if upstream.id in cold else 0
             running = self._loads.running(upstream.id)
-            used = (running + distance + coldness) / max(1, upstream.slots)
+            used = (running + other_hall_requests + cold_requests) / max(1, upstream.slots)
             return (upstream.id in suspects, used, self._rng.random())
 
         return min(upstreams, key=cost, default=None)
--- a/mulleinreach/gateway/known/store_calls.py
+++ b/mulleinreach/gateway/known/store_calls.py
@@ -21,29 +21,29 @@
 from mulleinreach.gateway.ports import Unavailable
 
 # One line a node in this time tells which calls it made, and stays readable beside its decisions.
-TELL_CALLS_S = 10.0
+CALLS_LOG_INTERVAL_S = 10.0
 # No other call is tried while one is under way that may still show that the store is back:
 # calls time out after a second.
-CALL_S = 1.2
+MAX_PROBE_S = 1.2
 # The node that reads for all renews its lease in the meantime, which isn't spaced here and
 # lets its reads go on with its first answer.
 READER_PAUSE_S = 1.0
 # A node that has no coordinator serves from what it knows, or nothing: it asks soon at
 # first. At the longest pause, a second of an outage costs a call and a half a node.
-FIRST_PAUSE_S, LONGEST_PAUSE_S = 0.3, 0.7
+MIN_PAUSE_S, MAX_PAUSE_S = 0.3, 0.7
 # Nodes that meet at a coordinator ask by turns, so many a second together: the first one
 # that gets an answer replaces it, and the others hear of that. With this figure an outage
 # costs 9 nodes at most twice a calm time's calls; with a pause of 0.4 to 1 s for each node,
 # ten seconds of it cost 24 calls a node.
-QUESTIONS_PER_S = 3.0
-SHORTEST_TURN_S = 0.4
+MAX_PROBES_PER_S = 3.0
+MIN_FOLLOWER_PAUSE_S = 0.4
 # However many they are, each finds out for itself within a few seconds.
-LONGEST_TURN_S = 3.0
+MAX_FOLLOWER_PAUSE_S = 3.0
 # A rest of a pause that rounding has left must not be waited for in vain.
-SHORTEST_SLEEP_S = 0.001
-LONGEST_SLEEP_S = 0.2
+MIN_SLEEP_S = 0.001
+MAX_SLEEP_S = 0.2
 # Pauses differ by this much either way, so that nodes don't ask in step.
-PAUSE_SPREAD = 0.5
+PAUSE_JITTER = 0.5
 
 
 class StoreRole(enum.Enum):
@@ -51,7 +51,7 @@
 
     READER = enum.auto()
     FOLLOWER = enum.auto()
-    ALONE = enum.auto()
+    NO_COORDINATOR = enum.auto()
 
 
 def pause_s(role: StoreRole, nodes: int, failures: int) -> float:
@@ -66,7 +66,7 @@
     Examples
     ========
 
-    >>> [pause_s(StoreRole.ALONE, 9, failures) for failures in (1, 2, 3)]
+    >>> [pause_s(StoreRole.NO_COORDINATOR, 9, failures) for failures in (1, 2, 3)]
     [0.3, 0.6, 0.7]
     >>> pause_s(StoreRole.FOLLOWER, 200, 1)
     3.0
@@ -74,8 +74,8 @@
     if role is StoreRole.READER:
         return READER_PAUSE_S
     if role is StoreRole.FOLLOWER:
-        return min(max(SHORTEST_TURN_S, nodes / QUESTIONS_PER_S), LONGEST_TURN_S)
-    return min(FIRST_PAUSE_S * 2 ** min(failures - 1, 8), LONGEST_PAUSE_S)
+        return min(max(MIN_FOLLOWER_PAUSE_S, nodes / MAX_PROBES_PER_S), MAX_FOLLOWER_PAUSE_S)
+    return min(MIN_PAUSE_S * 2 ** min(failures - 1, 8), MAX_PAUSE_S)
 
 
 class StoreCalls:
@@ -114,7 +114,7 @@
         self._counts: Counter[str] = Counter()
         self._failures = 0
         self._failed_at = float("-inf")
-        self._spread = 1.0
+        self._jitter = 1.0
         self._probed_at = float("-inf")
         self._answered = asyncio.Event()
 
@@ -122,7 +122,7 @@
         """Wait until a call may be made."""
         while self._failures and (remaining_s := self._remaining_s()) > 0:
             # The pause is worked out anew: it ends sooner once there is no coordinator.
-            sleep_s = min(max(remaining_s, SHORTEST_SLEEP_S), LONGEST_SLEEP_S)
+            sleep_s = min(max(remaining_s, MIN_SLEEP_S), MAX_SLEEP_S)
             try:
                 async with asyncio.timeout(sleep_s):
                     await self._answered.wait()
@@ -133,8 +133,8 @@
 
     def _remaining_s(self) -> float:
         """Return how long the next call has to wait while the store gives no answers."""
-        pause_s = self._spread * self._mean_pause_s(self._failures)
-        next_at = max(self._failed_at + pause_s, self._probed_at + CALL_S)
+        pause_s = self._jitter * self._mean_pause_s(self._failures)
+        next_at = max(self._failed_at + pause_s, self._probed_at + MAX_PROBE_S)
         return next_at - self._clock.now()
 
     def count(self, call: str, result: object) -> None:
@@ -143,7 +143,7 @@
         self._counts[f"{call}.{type(result).__name__}"] += 1
         if isinstance(result, Unavailable):
             self._failures += 1
-            self._spread = self._rng.uniform(1 - PAUSE_SPREAD, 1 + PAUSE_SPREAD)
+            self._jitter = self._rng.uniform(1 - PAUSE_JITTER, 1 + PAUSE_JITTER)
             self._failed_at = self._clock.now()
             self._probed_at = float("-inf")
             self._answered.clear()
@@ -159,7 +159,7 @@
     async def tell(self) -> None:
         """Log the calls of each interval that had any, for ever."""
         while True:
-            await asyncio.sleep(TELL_CALLS_S)
+            await asyncio.sleep(CALLS_LOG_INTERVAL_S)
             counts = self.take()
             if counts:
                 self._log.event("store_calls", **counts)
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -13,13 +13,13 @@
 
 from mulleinreach.common import Address, Clock, EventLog
 from mulleinreach.gateway.coordination.numbering import NodeNumbers
-from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.known.cold import NUMBER_HOLDS_S, WINDOW_S, ColdRateLimit, quota
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import Configuration
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
-from mulleinreach.gateway.tests.desk import answer_whole, fail
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.desk import echo_path, fail
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Upstream
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST, UPSTREAMS
 from mulleinreach.standins.gateway.world import (
@@ -28,16 +28,16 @@
     make_configuration,
 )
 
-BOUNDS = Bounds(cold_ratio=1.5, cold_slack=5.0)
+BOUNDS = DeploymentBounds(cold_ratio=1.5, cold_slack=5.0)
 COLD_S, COLD_PER_S = 12.0, 4.0
 BOUND = COLD_PER_S * BOUNDS.cold_ratio + BOUNDS.cold_slack
 WORLD = {"nodes": 6, "halls": 3, "domains": 3, "hosts_per_domain": 6, "bounds": BOUNDS}
 # A change of a row reaches all nodes within so many seconds.
-TOLD_S = 0.6
+ROW_PROPAGATION_S = 0.6
 STEP_S = 0.05
 
 
-class SetClock(Clock):
+class SettableClock(Clock):
     """A clock that stands where a test sets it."""
 
     def __init__(self) -> None:
@@ -57,10 +57,12 @@
     return replace(configuration, services=services)
 
 
-def most_in_a_second(times: Iterable[float]) -> int:
+def max_per_second(times: Iterable[float]) -> int:
     """Return how many moments lie within one second at most."""
     ordered = sorted(times)
-    return max((sum(t <= other < t + WINDOW_S for other in ordered) for t in ordered), default=0)
+    return max(
+        (sum(t <= other < t + RATE_WINDOW_S for other in ordered) for t in ordered), default=0
+    )
 
 
 class Arrivals:
@@ -81,10 +83,10 @@
     def check(self, hosts: Iterable[str], since: float) -> None:
         """No host has had more than it bears in any second from a moment on."""
         for host in hosts:
-            assert most_in_a_second(self.at(host, since)) <= BOUND, host
+            assert max_per_second(self.at(host, since)) <= BOUND, host
 
 
-async def ask_everywhere(world, seconds: float, statuses: list[int], model: str = LARGE) -> None:
+async def send_to_all_nodes(world, seconds: float, statuses: list[int], model: str = LARGE) -> None:
     """Ask each node for short streams, far more than cold heads bear."""
     asked = []
     until = world.clock.now() + seconds
@@ -129,8 +131,8 @@
 
     def __init__(self, size: int, seed: int):
         self._rng = random.Random(seed)
-        self._clock = SetClock()
-        self._hub = NodeNumbers(self._clock.now())
+        self._clock = SettableClock()
+        self._numbers = NodeNumbers(self._clock.now())
         self._limits = [ColdRateLimit(BOUNDS, self._clock, EventLog("node")) for _ in range(size)]
         self._connected: set[int] = set()
         self.sends: list[float] = []
@@ -140,10 +142,10 @@
         for _ in range(int(seconds / STEP_S)):
             self._clock.time += STEP_S
             self._change()
-            self._hub.update(sorted(self._connected), self._clock.now())
+            self._numbers.update(sorted(self._connected), self._clock.now())
             for node in self._connected:
-                number = self._hub.number_of(node)
-                self._limits[node].take_number(number, self._hub.count, self._clock.now())
+                number = self._numbers.number_of(node)
+                self._limits[node].set_number(number, self._numbers.count, self._clock.now())
             for limit in self._limits:
                 self._send_all(limit)
 
@@ -154,7 +156,7 @@
         elif chance < 0.32:
             self._connected = set()
         elif chance < 0.36:
-            self._hub = NodeNumbers(self._clock.now())
+            self._numbers = NodeNumbers(self._clock.now())
 
     def _send_all(self, limit: ColdRateLimit) -> None:
         while self._rng.random() < 0.7 and limit.allows("u", COLD_PER_S):
@@ -168,19 +170,19 @@
     for seed in range(60):
         nodes = NumberedNodes(size, seed)
         nodes.run(30)
-        most = max(most, most_in_a_second(nodes.sends))
+        most = max(most, max_per_second(nodes.sends))
     assert 0 < most <= BOUND
 
 
 def test_node_without_a_number_sends_nothing_and_numbers_lapse():
-    clock = SetClock()
+    clock = SettableClock()
     limit = ColdRateLimit(BOUNDS, clock, EventLog("node"))
     assert not limit.allows("u", COLD_PER_S)
-    limit.take_number(3, 3, clock.now())
+    limit.set_number(3, 3, clock.now())
     assert not limit.allows("u", COLD_PER_S)
-    limit.take_number(0, 3, clock.now())
+    limit.set_number(0, 3, clock.now())
     assert limit.allows("u", COLD_PER_S)
-    clock.time += NUMBER_HOLDS_S + 0.1
+    clock.time += NUMBER_VALID_S + 0.1
     assert not limit.allows("u", COLD_PER_S)
 
 
@@ -198,14 +200,14 @@
 def test_cold_time_counts_from_the_latest_change_of_a_row():
     host = Upstream("u", "s", Address("10.0.0.1", 80), "hall", cold_s=5.0)
     directory = UpstreamDirectory()
-    directory.replace_all(1, [host], heard_at=10.0)
-    assert directory.put_report(replace(host, pace=2.0), as_of=13.0)
-    directory.replace_all(2, [replace(host, pace=2.0)], heard_at=14.0)
+    directory.replace_all(1, [host], observed_at=10.0)
+    assert directory.apply_report(replace(host, pace=2.0), as_of=13.0)
+    directory.replace_all(2, [replace(host, pace=2.0)], observed_at=14.0)
     assert directory.cold_ids(14.9) == {"u"}
     assert not directory.cold_ids(15.1)
-    directory.apply(ListChange(3, [replace(host, cold_s=8.0)], []), heard_at=16.0)
+    directory.apply(ListChange(3, [replace(host, cold_s=8.0)], []), observed_at=16.0)
     assert directory.cold_ids(23.9) == {"u"}
-    directory.apply(ListChange(4, [replace(host, cold_s=0.0)], []), heard_at=17.0)
+    directory.apply(ListChange(4, [replace(host, cold_s=0.0)], []), observed_at=17.0)
     assert not directory.cold_ids(17.0)
 
 
@@ -216,15 +218,15 @@
         for host in world.fabric.hosts.values():
             if host.upstream.hall == "hall-b":
                 host.turn_cold(COLD_S)
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(ROW_PROPAGATION_S)
         started_at, statuses = world.clock.now(), []
-        await ask_everywhere(world, 5, statuses)
+        await send_to_all_nodes(world, 5, statuses)
         arrivals = Arrivals(world)
         arrivals.check(cold, started_at)
         assert set(statuses) == {200}
         # Cold ones are used, as far as they bear it.
         assert all(len(arrivals.at(u, started_at)) > 0 for u in cold)
-        assert all(most_in_a_second(arrivals.at(u, started_at)) > BOUND for u in sound)
+        assert all(max_per_second(arrivals.at(u, started_at)) > BOUND for u in sound)
         metrics = [node.metrics.registry for node in world.nodes.values()]
         withheld = [m.get_sample_value("mulleinreach_gateway_cold_withheld_total") for m in metrics]
         # The node whose number is not chosen for the head withholds every request.
@@ -234,22 +236,22 @@
 
 
 @pytest.mark.parametrize("trouble", ["killed", "cut"])
-def test_bound_holds_while_the_coordinator_is_replaced(trouble):
+def test_bound_holds_while_the_coordinator_is_replaced(fault):
     async def test(world):
         await start_cold_world(world)
         for host in world.fabric.hosts.values():
             host.turn_cold(COLD_S)
-        await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(ROW_PROPAGATION_S)
         started_at, cold, statuses = world.clock.now(), heads_in(world), []
-        asking = asyncio.create_task(ask_everywhere(world, 9, statuses))
+        asking = asyncio.create_task(send_to_all_nodes(world, 9, statuses))
         await asyncio.sleep(2)
         first = world.coordinator()
-        if trouble == "killed":
+        if fault == "killed":
             await world.kill_node(first)
         else:
             others = [name for name in world.nodes if name != first]
             for away in (first, *others[:2]):
-                turn_away(world.nodes[away])
+                block_store_access(world.nodes[away])
                 for other in others[2:]:
                     world.links.cut_both(away, other)
         await asking
@@ -264,7 +266,7 @@
     async def test(world):
         await start_cold_world(world)
         first = world.coordinator()
-        turn_away(world.nodes[first])
+        block_store_access(world.nodes[first])
         for other in world.nodes:
             if other != first:
                 world.links.cut_both(first, other)
@@ -276,7 +278,7 @@
     run_world(test, **WORLD)
 
 
-def test_numbers_hold_on_while_the_store_is_away_for_all_nodes():
+def test_numbers_stay_valid_while_no_node_can_reach_the_store():
     async def test(world):
         await start_cold_world(world)
         world.store.is_down = True
@@ -287,7 +289,7 @@
     run_world(test, **WORLD)
 
 
-def test_hall_taken_back_counts_as_cold_though_no_row_tells_it():
+def test_hall_taken_back_counts_as_cold_without_a_cold_row():
     async def test(world):
         await start_cold_world(world)
         hosts = [h for h in world.fabric.hosts.values() if h.upstream.hall == "hall-b"]
@@ -296,7 +298,7 @@
         for host in hosts:
             host.turn_cold(COLD_S, is_told=False)
         started_at, statuses = world.clock.now(), []
-        asking = asyncio.create_task(ask_everywhere(world, 6, statuses))
+        asking = asyncio.create_task(send_to_all_nodes(world, 6, statuses))
         await asyncio.sleep(0.5)
         world.take_back("hall-b")
         await asking
@@ -308,14 +310,14 @@
     run_world(test, **WORLD)
 
 
-def test_late_request_that_no_head_may_be_sent_is_refused_at_once():
+def test_late_request_without_an_eligible_head_is_refused_at_once():
     async def test(world):
         await start_cold_world(world)
         for _ in range(4):
             await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
         for host in world.fabric.hosts.values():
             host.turn_cold(COLD_S)
-        await asyncio.sleep(TOLD_S + WINDOW_S)
+        await asyncio.sleep(ROW_PROPAGATION_S + RATE_WINDOW_S)
         refused = 0
         for _ in range(12):
             asked_at = world.clock.now()
@@ -330,7 +332,7 @@
     run_world(test, **WORLD)
 
 
-def test_bound_holds_for_repeats_and_for_plain_services():
+def test_bound_holds_for_retries_and_for_plain_services():
     async def test(world):
         world.store.put(CONFIGURATION, NEWEST, cold_configuration())
         arrivals: dict[str, list[float]] = {"desk-1": [], "desk-2": []}
@@ -353,14 +355,14 @@
             await asyncio.sleep(0.1)
         await asyncio.gather(*asked)
         for times in arrivals.values():
-            assert 0 < most_in_a_second(times) <= BOUND
+            assert 0 < max_per_second(times) <= BOUND
 
     run_world(test, nodes=6, domains=0, bounds=BOUNDS)
 
 
 def test_service_without_a_bound_uses_cold_upstreams_as_before():
     async def test(world):
-        plain = await world.add_plain("desk", answer_whole)
+        plain = await world.add_plain("desk", echo_path)
         world.store.put(UPSTREAMS, "desk", replace(plain.upstream, cold_s=COLD_S))
         await asyncio.sleep(2)
         answers = await asyncio.gather(*(world.call("/order/1") for _ in range(30)))
--- a/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
+++ b/mulleinreach/gateway/known/tests/test_configuration_passed_on.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.support import refuse_call, run_world
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.support import return_unavailable, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import API_KEY, make_configuration
 
@@ -34,11 +34,11 @@
 
 def test_node_that_the_store_turns_away_follows_the_configuration():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         name = next(name for name in world.nodes if name != world.coordinator())
         ports = world.nodes[name].ports
-        ports.configurations.wait = ports.configurations.read = refuse_call
+        ports.configurations.wait = ports.configurations.read = return_unavailable
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset({"new"})))
         await asyncio.sleep(0.5)
         assert (await world.call("/order/1", node=name, key=API_KEY)).status == 401
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/known/tests/test_crash_book_work.py
@@ -9,19 +9,19 @@
 import sys
 from collections.abc import Callable
 
-from mulleinreach.gateway.known.crashes import HOLD_S, CrashBook, Sighting
-from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, BookDesk
+from mulleinreach.gateway.known.crashes import HOLD_S, CrashTracker, RunObservation
+from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, TrackerHarness
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 
 REQUESTS_EACH = 17
 FEW_UPSTREAMS, MANY_UPSTREAMS = 6, 48
 # Some more is allowed for what grows with the logarithm, and for ends of one hall.
-MORE_OFTEN = 1.5
+MAX_COST_RATIO = 1.5
 # The loss of 100 upstreams may take 20 ms, and to be told of it ten times 10 ms more.
-TELLINGS = 10
-SHARE_OF_TELLINGS = 0.5
+REPEATS = 10
+MAX_REPEAT_COST_RATIO = 0.5
 # Coordinators are replaced each half hour for a day.
-BETWEEN_COORDINATORS_S = 1800.0
+COORDINATOR_INTERVAL_S = 1800.0
 COORDINATORS = 48
 
 
@@ -43,11 +43,11 @@
     return count
 
 
-def sightings_of(upstreams: int) -> list[Sighting]:
+def make_observations(upstreams: int) -> list[RunObservation]:
     """Return what a node tells when upstreams of two halls end under many requests each."""
     rng = random.Random(upstreams)
     return [
-        Sighting(
+        RunObservation(
             rng.getrandbits(64),
             rng.getrandbits(64),
             f"u{number}",
@@ -60,47 +60,49 @@
     ]
 
 
-def work_of(upstreams: int) -> float:
+def operations_per_observation(upstreams: int) -> float:
     """Return how many operations a sighting takes where so many upstreams end at once."""
-    book: CrashBook = BookDesk().book
-    told = sightings_of(upstreams)
-    return count_operations(lambda: book.take(told)) / len(told)
+    tracker: CrashTracker = TrackerHarness().tracker
+    observations = make_observations(upstreams)
+    return count_operations(lambda: tracker.take(observations)) / len(observations)
 
 
 def test_sighting_takes_no_more_work_where_more_is_known():
-    assert work_of(MANY_UPSTREAMS) < MORE_OFTEN * work_of(FEW_UPSTREAMS)
+    assert operations_per_observation(MANY_UPSTREAMS) < MAX_COST_RATIO * operations_per_observation(
+        FEW_UPSTREAMS
+    )
 
 
 def test_sightings_that_are_told_again_take_little():
-    book = BookDesk().book
-    told = sightings_of(MANY_UPSTREAMS)
-    first = count_operations(lambda: book.take(told))
-    again = count_operations(lambda: [book.take(told) for _ in range(TELLINGS)])
-    assert again < SHARE_OF_TELLINGS * first
+    tracker = TrackerHarness().tracker
+    observations = make_observations(MANY_UPSTREAMS)
+    first = count_operations(lambda: tracker.take(observations))
+    again = count_operations(lambda: [tracker.take(observations) for _ in range(REPEATS)])
+    assert again < MAX_REPEAT_COST_RATIO * first
 
 
 def test_hold_that_is_handed_on_ends_when_it_would_have():
-    desk = BookDesk()
+    harness = TrackerHarness()
     for name in ("u1", "u2"):
-        desk.end(CULPRIT, name)
-    book = desk.book
+        harness.end(CULPRIT, name)
+    tracker = harness.tracker
     for _ in range(COORDINATORS):
-        desk.wait(BETWEEN_COORDINATORS_S)
-        later = BookDesk(desk.clock).book
-        later.take_held(book.held())
-        book = later
-        if desk.clock.now() >= 1000.0 + HOLD_S:
-            assert not book.is_held(CULPRIT)
+        harness.wait(COORDINATOR_INTERVAL_S)
+        later = TrackerHarness(harness.clock).tracker
+        later.merge_held(tracker.held())
+        tracker = later
+        if harness.clock.now() >= 1000.0 + HOLD_S:
+            assert not tracker.is_held(CULPRIT)
 
 
 def test_hold_that_is_handed_on_in_time_counts():
-    desk = BookDesk()
+    harness = TrackerHarness()
     for name in ("u1", "u2"):
-        desk.end(CULPRIT, name)
-    desk.wait(HOLD_S / 2)
-    later = BookDesk(desk.clock)
-    later.book.take_held(desk.book.held())
-    desk.wait(HOLD_S / 2 - 1)
-    assert later.book.is_held(CULPRIT)
-    desk.wait(2)
-    assert not later.book.is_held(CULPRIT)
+        harness.end(CULPRIT, name)
+    harness.wait(HOLD_S / 2)
+    later = TrackerHarness(harness.clock)
+    later.tracker.merge_held(harness.tracker.held())
+    harness.wait(HOLD_S / 2 - 1)
+    assert later.tracker.is_held(CULPRIT)
+    harness.wait(2)
+    assert not later.tracker.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_crashes.py
+++ b/mulleinreach/gateway/known/tests/test_crashes.py
@@ -10,20 +10,24 @@
 from mulleinreach.common import Address
 from mulleinreach.gateway.known.crashes import (
     HOLD_S,
-    MOST_BEGINNING,
-    MOST_CONTENTS,
-    MOST_HELD,
-    TELL_S,
-    CrashBook,
+    MAX_BEGUN_REQUESTS,
+    MAX_HELD_CONTENTS,
+    MAX_TRACKED_CONTENTS,
+    REPORT_WINDOW_S,
+    CrashTracker,
+)
+from mulleinreach.gateway.known.upstream_ends import (
+    OBSERVATION_RETENTION_S,
+    SAME_FAILURE_WINDOW_S,
+    RunOutcome,
 )
-from mulleinreach.gateway.known.upstream_ends import APART_S, MEMORY_S, RunOutcome
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Upstream
 
 CULPRIT, OTHER = 1, 2
 
 
-class SteppedClock:
+class ManualClock:
     """A clock that a test moves."""
 
     def __init__(self):
@@ -34,25 +38,25 @@
         return self.at
 
 
-class SilentLog:
+class NullLog:
     """Takes events and drops them."""
 
     def event(self, name: str, **fields: object) -> None:
         """Drop an event."""
 
 
-class BookDesk:
+class TrackerHarness:
     """A book, its clock, and what it has held."""
 
-    def __init__(self, clock: SteppedClock | None = None, seed: int = 1):
-        self.clock = clock or SteppedClock()
+    def __init__(self, clock: ManualClock | None = None, seed: int = 1):
+        self.clock = clock or ManualClock()
         self.held: list[int] = []
-        self.book = CrashBook(self.clock, SilentLog(), random.Random(seed), self.held.append)
+        self.tracker = CrashTracker(self.clock, NullLog(), random.Random(seed), self.held.append)
 
     def end(self, content: int, name: str, hall: str = "a", has_begun: bool = True) -> None:
         """Note an end at an upstream of a name."""
         outcome = RunOutcome.ENDED_BEGUN if has_begun else RunOutcome.ENDED
-        self.book.note_end(content, upstream(name, hall), outcome)
+        self.tracker.note_end(content, upstream(name, hall), outcome)
 
     def wait(self, seconds: float) -> None:
         """Move the clock."""
@@ -65,91 +69,91 @@
 
 
 @pytest.fixture
-def desk() -> BookDesk:
-    return BookDesk()
+def desk() -> TrackerHarness:
+    return TrackerHarness()
 
 
 def test_second_end_after_a_beginning_holds_a_request(desk):
     desk.end(CULPRIT, "u1")
-    assert not desk.book.is_held(CULPRIT)
+    assert not desk.tracker.is_held(CULPRIT)
     desk.end(CULPRIT, "u2")
-    assert desk.book.is_held(CULPRIT)
+    assert desk.tracker.is_held(CULPRIT)
     assert desk.held == [CULPRIT]
 
 
 def test_three_ends_hold_a_request_that_may_not_have_begun(desk):
     for name in ("u1", "u2"):
         desk.end(CULPRIT, name, has_begun=False)
-    assert not desk.book.is_held(CULPRIT)
+    assert not desk.tracker.is_held(CULPRIT)
     desk.end(CULPRIT, "u3", has_begun=False)
-    assert desk.book.is_held(CULPRIT)
+    assert desk.tracker.is_held(CULPRIT)
 
 
 def test_four_ends_hold_a_request_that_gave_events_before_each(desk):
     for number in range(4):
         assert desk.held == []
-        desk.book.note_end(CULPRIT, upstream(f"u{number}"), RunOutcome.ENDED_GIVING)
+        desk.tracker.note_end(CULPRIT, upstream(f"u{number}"), RunOutcome.ENDED_GIVING)
     assert desk.held == [CULPRIT]
 
 
 def test_neighbour_that_gave_events_is_not_held_with_its_culprit(desk):
     for name in ("u1", "u2", "u3"):
         desk.end(CULPRIT, name)
-        desk.book.note_end(OTHER, upstream(name), RunOutcome.ENDED_GIVING)
+        desk.tracker.note_end(OTHER, upstream(name), RunOutcome.ENDED_GIVING)
     assert desk.held == [CULPRIT]
 
 
 def test_copies_at_one_upstream_see_one_end(desk):
     for _ in range(5):
         desk.end(CULPRIT, "u1")
-    assert not desk.book.is_held(CULPRIT)
+    assert not desk.tracker.is_held(CULPRIT)
 
 
 def test_upstream_that_is_back_under_its_id_ends_a_second_time(desk):
     desk.end(CULPRIT, "u1")
     desk.wait(3)
     desk.end(CULPRIT, "u1")
-    assert desk.book.is_held(CULPRIT)
+    assert desk.tracker.is_held(CULPRIT)
 
 
 def test_ends_in_a_failing_hall_count_once(desk):
     desk.end(OTHER, "u9")
     desk.end(CULPRIT, "u1")
-    desk.wait(APART_S / 2)
+    desk.wait(SAME_FAILURE_WINDOW_S / 2)
     desk.end(CULPRIT, "u2")
-    assert not desk.book.is_held(CULPRIT)
+    assert not desk.tracker.is_held(CULPRIT)
 
 
 def test_neighbours_of_a_culprit_do_not_make_its_hall_look_failing(desk):
     desk.end(OTHER, "u1", has_begun=False)
     desk.end(CULPRIT, "u1")
-    desk.wait(APART_S / 2)
+    desk.wait(SAME_FAILURE_WINDOW_S / 2)
     desk.end(CULPRIT, "u2")
-    assert desk.book.is_held(CULPRIT)
-    assert not desk.book.is_held(OTHER)
+    assert desk.tracker.is_held(CULPRIT)
+    assert not desk.tracker.is_held(OTHER)
 
 
 def test_ends_in_two_halls_count_while_one_is_failing(desk):
     desk.end(OTHER, "u9")
     desk.end(CULPRIT, "u1")
     desk.end(CULPRIT, "u2", hall="b")
-    assert desk.book.is_held(CULPRIT)
+    assert desk.tracker.is_held(CULPRIT)
 
 
 def test_request_that_was_served_begins_anew(desk):
     desk.end(CULPRIT, "u1")
     desk.wait(0.1)
-    desk.book.note_served(CULPRIT, upstream("u5"))
+    desk.tracker.note_served(CULPRIT, upstream("u5"))
     desk.wait(0.1)
     desk.end(CULPRIT, "u2")
-    assert not desk.book.is_held(CULPRIT)
+    assert not desk.tracker.is_held(CULPRIT)
     desk.wait(2)
     desk.end(CULPRIT, "u3")
-    assert desk.book.is_held(CULPRIT)
+    assert desk.tracker.is_held(CULPRIT)
 
 
 def test_beginning_tells_nothing_where_all_requests_of_an_upstream_had_begun(desk):
-    crowd = range(10, 10 + MOST_BEGINNING + 1)
+    crowd = range(10, 10 + MAX_BEGUN_REQUESTS + 1)
     for name in ("u1", "u2"):
         for content in crowd:
             desk.end(content, name)
@@ -162,84 +166,84 @@
 def test_request_that_is_served_often_leaves_one_sighting(desk):
     desk.end(CULPRIT, "u1")
     for _ in range(50):
-        desk.book.note_served(CULPRIT, upstream("u2"))
-    assert len(desk.book.own_sightings(includes_old=True)) == 2
+        desk.tracker.note_served(CULPRIT, upstream("u2"))
+    assert len(desk.tracker.own_observations(includes_old=True)) == 2
 
 
 def test_served_requests_that_nothing_ended_under_are_not_kept(desk):
-    desk.book.note_served(CULPRIT, upstream("u1"))
-    assert desk.book.own_sightings(includes_old=True) == []
+    desk.tracker.note_served(CULPRIT, upstream("u1"))
+    assert desk.tracker.own_observations(includes_old=True) == []
 
 
 def test_sightings_of_two_nodes_come_together():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
     second.end(CULPRIT, "u2", hall="b")
-    first.book.take(second.book.own_sightings(includes_old=False))
-    assert first.book.is_held(CULPRIT)
-    assert not second.book.is_held(CULPRIT)
-    second.book.take_held(first.book.held())
+    first.tracker.take(second.tracker.own_observations(includes_old=False))
+    assert first.tracker.is_held(CULPRIT)
+    assert not second.tracker.is_held(CULPRIT)
+    second.tracker.merge_held(first.tracker.held())
     assert second.held == [CULPRIT]
 
 
 def test_doubled_and_late_reports_count_once():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    report = first.book.own_sightings(includes_old=False)
+    report = first.tracker.own_observations(includes_old=False)
     for _ in range(3):
-        second.book.take(report)
+        second.tracker.take(report)
         second.wait(5)
-    assert not second.book.is_held(CULPRIT)
+    assert not second.tracker.is_held(CULPRIT)
 
 
 def test_what_others_saw_is_not_told_as_own():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    second.book.take(first.book.own_sightings(includes_old=False))
-    assert second.book.own_sightings(includes_old=True) == []
+    second.tracker.take(first.tracker.own_observations(includes_old=False))
+    assert second.tracker.own_observations(includes_old=True) == []
 
 
 def test_old_sightings_are_told_to_a_new_coordinator_only(desk):
     desk.end(CULPRIT, "u1")
-    desk.wait(TELL_S + 0.1)
-    assert desk.book.own_sightings(includes_old=False) == []
-    [told] = desk.book.own_sightings(includes_old=True)
+    desk.wait(REPORT_WINDOW_S + 0.1)
+    assert desk.tracker.own_observations(includes_old=False) == []
+    [told] = desk.tracker.own_observations(includes_old=True)
     assert (told.content, told.upstream_id, told.hall) == (CULPRIT, "u1", "a")
-    assert told.ago_s == pytest.approx(TELL_S + 0.1)
+    assert told.ago_s == pytest.approx(REPORT_WINDOW_S + 0.1)
 
 
 def test_sightings_and_holds_end(desk):
     desk.end(CULPRIT, "u1")
-    desk.wait(MEMORY_S + 1)
+    desk.wait(OBSERVATION_RETENTION_S + 1)
     desk.end(CULPRIT, "u2")
-    assert not desk.book.is_held(CULPRIT)
+    assert not desk.tracker.is_held(CULPRIT)
     desk.wait(2)
     desk.end(CULPRIT, "u3")
-    assert desk.book.is_held(CULPRIT)
+    assert desk.tracker.is_held(CULPRIT)
     desk.wait(HOLD_S + 1)
-    assert not desk.book.is_held(CULPRIT)
-    assert desk.book.held() == ()
+    assert not desk.tracker.is_held(CULPRIT)
+    assert desk.tracker.held() == ()
 
 
 def test_the_newest_are_kept_where_there_are_too_many(desk):
-    for content in range(MOST_CONTENTS + 10):
+    for content in range(MAX_TRACKED_CONTENTS + 10):
         desk.end(content, "u1")
         desk.wait(0.01)
-    assert len(desk.book.own_sightings(includes_old=True)) == MOST_CONTENTS
-    desk.book.take_held(HeldContent(1000 + n, HOLD_S) for n in range(MOST_HELD + 5))
-    assert len(desk.book.held()) == MOST_HELD
-    assert desk.book.is_held(1000 + MOST_HELD + 4)
-    assert not desk.book.is_held(1000)
+    assert len(desk.tracker.own_observations(includes_old=True)) == MAX_TRACKED_CONTENTS
+    desk.tracker.merge_held(HeldContent(1000 + n, HOLD_S) for n in range(MAX_HELD_CONTENTS + 5))
+    assert len(desk.tracker.held()) == MAX_HELD_CONTENTS
+    assert desk.tracker.is_held(1000 + MAX_HELD_CONTENTS + 4)
+    assert not desk.tracker.is_held(1000)
 
 
 def test_report_that_was_delayed_counts_from_when_it_was_written():
-    first = BookDesk()
-    second = BookDesk(first.clock, seed=2)
+    first = TrackerHarness()
+    second = TrackerHarness(first.clock, seed=2)
     first.end(CULPRIT, "u1")
-    [told] = first.book.own_sightings(includes_old=False)
-    second.book.take([replace(told, ago_s=700.0)])
+    [told] = first.tracker.own_observations(includes_old=False)
+    second.tracker.take([replace(told, ago_s=700.0)])
     second.end(CULPRIT, "u2")
-    assert not second.book.is_held(CULPRIT)
+    assert not second.tracker.is_held(CULPRIT)
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -7,23 +7,23 @@
 import pytest
 
 from mulleinreach.common import EventLog, VirtualClock
-from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.known.evacuations import EMPTYING_PART, NEVER, Evacuations
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.known.evacuations import NEVER, RAMP_DOWN_FRACTION, Evacuations
 from mulleinreach.gateway.ports import EvacuationRow
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
-from mulleinreach.gateway.tests.desk import answer_whole, fail, refuse
-from mulleinreach.gateway.tests.support import let_in, run_world, turn_away
+from mulleinreach.gateway.tests.desk import echo_path, fail, refuse
+from mulleinreach.gateway.tests.support import block_store_access, restore_store_access, run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
 from mulleinreach.standins.gateway.world import SMALL
 from mulleinreach.standins.virtual import run_virtual
 
-BOUND_S = Bounds.evacuation_s
+BOUND_S = DeploymentBounds.evacuation_s
 HALL = "hall-a"
 # In calm times the coordinator reads the request at once, and the next report passes it on.
-HEARD_S = 0.3
+PROPAGATION_S = 0.3
 # What a node needs, once the store is back, to have read it.
-READ_AGAIN_S = 2.0
-LONGEST_WAIT_S = 2.5
+STORE_RECOVERY_S = 2.0
+MAX_STORE_WAIT_S = 2.5
 
 
 async def assert_served(world) -> None:
@@ -36,7 +36,7 @@
 # What goes wrong while a hall is emptied.
 
 
-async def nothing(world) -> None:
+async def no_fault(world) -> None:
     """All is well."""
 
 
@@ -54,21 +54,21 @@
             world.links.cut_both(name, coordinator)
 
 
-async def turn_coordinator_away(world) -> None:
+async def reject_coordinator(world) -> None:
     """The store refuses the coordinator."""
-    turn_away(world.nodes[world.coordinator()])
+    block_store_access(world.nodes[world.coordinator()])
 
 
-async def turn_all_but_one_away(world) -> None:
+async def reject_all_nodes_but_one(world) -> None:
     """The store refuses all nodes but one, which doesn't coordinate."""
     coordinator = world.coordinator()
     serving = next(name for name in world.nodes if name != coordinator)
     for name, node in world.nodes.items():
         if name != serving:
-            turn_away(node)
+            block_store_access(node)
 
 
-async def forget_history(world) -> None:
+async def lose_history(world) -> None:
     """No wait can be continued for a while."""
     world.store.history_from = world.store.version + 1000
 
@@ -80,74 +80,79 @@
     await world.start_node("node-new", hall=HALL)
 
 
-TROUBLES = [
-    nothing,
+FAULTS = [
+    no_fault,
     kill_coordinator,
     silence_coordinator,
-    turn_coordinator_away,
-    turn_all_but_one_away,
-    forget_history,
+    reject_coordinator,
+    reject_all_nodes_but_one,
+    lose_history,
     restart_node,
 ]
 
 
-@pytest.mark.parametrize("trouble", TROUBLES)
-def test_hall_gets_nothing_after_the_bound(trouble):
+@pytest.mark.parametrize("trouble", FAULTS)
+def test_hall_gets_nothing_after_the_bound(fault):
     async def test(world, traffic):
-        assert traffic.plain_starts(HALL) and traffic.model_starts(HALL)
+        assert traffic.plain_request_times(HALL) and traffic.model_request_times(HALL)
         asked_at = world.clock.now()
         world.evacuate(HALL)
-        await trouble(world)
+        await fault(world)
         await asyncio.sleep(BOUND_S + 4)
-        assert traffic.starts_after(HALL, asked_at + BOUND_S) == []
+        assert traffic.request_times_after(HALL, asked_at + BOUND_S) == []
         await assert_served(world)
 
     run_traffic(test)
 
 
-HALF_WAY = [kill_coordinator, silence_coordinator, turn_all_but_one_away]
+RAMP_DOWN_FAULTS = [kill_coordinator, silence_coordinator, reject_all_nodes_but_one]
 
 
-@pytest.mark.parametrize("trouble", HALF_WAY)
-def test_trouble_half_way_sends_nothing_back(trouble):
+@pytest.mark.parametrize("trouble", RAMP_DOWN_FAULTS)
+def test_fault_during_the_ramp_down_sends_nothing_back(fault):
     async def test(world, traffic):
         asked_at = world.clock.now()
         world.evacuate(HALL)
         await asyncio.sleep(BOUND_S / 4)
-        await trouble(world)
+        await fault(world)
         await asyncio.sleep(BOUND_S)
-        assert traffic.starts_after(HALL, asked_at + EMPTYING_PART * BOUND_S + HEARD_S) == []
+        assert (
+            traffic.request_times_after(
+                HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S + PROPAGATION_S
+            )
+            == []
+        )
 
     run_traffic(test)
 
 
-def test_request_that_nobody_could_read_counts_once_the_store_is_back():
+def test_order_written_during_a_store_outage_applies_after_it():
     async def test(world, traffic):
         for node in world.nodes.values():
-            turn_away(node)
-        await asyncio.sleep(LONGEST_WAIT_S)
+            block_store_access(node)
+        await asyncio.sleep(MAX_STORE_WAIT_S)
         world.evacuate(HALL)
         await asyncio.sleep(1)
         back_at = world.clock.now()
         for node in world.nodes.values():
-            let_in(node)
+            restore_store_access(node)
         await asyncio.sleep(BOUND_S)
-        assert traffic.starts_after(HALL, back_at - 1)
-        assert traffic.starts_after(HALL, back_at + READ_AGAIN_S) == []
+        assert traffic.request_times_after(HALL, back_at - 1)
+        assert traffic.request_times_after(HALL, back_at + STORE_RECOVERY_S) == []
         await assert_served(world)
 
     run_traffic(test)
 
 
-def test_request_is_noticed_beside_a_wait_that_has_fallen_silent():
+def test_order_is_noticed_despite_a_wait_that_has_fallen_silent():
     async def test(world):
         await asyncio.sleep(3)
         for node in world.nodes.values():
             node.ports.configurations.wait = _hang
-        await asyncio.sleep(LONGEST_WAIT_S)
+        await asyncio.sleep(MAX_STORE_WAIT_S)
         world.evacuate(HALL)
         # The next renewal of the lease names a row that has changed.
-        await asyncio.sleep(1.0 + HEARD_S)
+        await asyncio.sleep(1.0 + PROPAGATION_S)
         for node in world.nodes.values():
             assert node.in_force.evacuations.halls == {HALL}
 
@@ -158,7 +163,7 @@
     await asyncio.sleep(3600)
 
 
-def test_share_falls_to_nothing_over_half_of_the_bound():
+def test_share_falls_to_zero_over_half_of_the_bound():
     async def test(world, traffic):
         asked_at = world.clock.now()
         evacuations = [node.in_force.evacuations for node in world.nodes.values()]
@@ -170,18 +175,18 @@
         for known in zip(*shares, strict=True):
             assert list(known) == sorted(known, reverse=True)
             assert 0 < min(share for share in known[:10]) < 0.9
-        assert traffic.starts_after(HALL, asked_at + 0.5)
-        assert traffic.starts_after(HALL, asked_at + EMPTYING_PART * BOUND_S) == []
+        assert traffic.request_times_after(HALL, asked_at + 0.5)
+        assert traffic.request_times_after(HALL, asked_at + RAMP_DOWN_FRACTION * BOUND_S) == []
 
     run_traffic(test)
 
 
 @pytest.mark.parametrize("is_alone", [False, True])
-def test_node_that_starts_sends_nothing_to_a_hall_that_gives_way(is_alone):
+def test_node_that_starts_sends_nothing_to_an_evacuated_hall(is_alone):
     async def test(world):
         seen = await _serve_halls(world)
         world.evacuate(HALL)
-        await asyncio.sleep(HEARD_S)
+        await asyncio.sleep(PROPAGATION_S)
         if is_alone:
             for name in list(world.nodes):
                 await world.kill_node(name)
@@ -197,7 +202,7 @@
     """Start a plain upstream in each hall; returns the requests that each one sees."""
     plain = {}
     for hall in world.halls:
-        handler = handlers.get(hall.replace("-", "_"), answer_whole)
+        handler = handlers.get(hall.replace("-", "_"), echo_path)
         plain[hall] = await world.add_plain(f"desk-{hall}", handler, hall)
     await asyncio.sleep(3)
     return {hall: upstream.seen for hall, upstream in plain.items()}
@@ -207,32 +212,37 @@
     async def test(world, traffic):
         world.evacuate(HALL)
         await asyncio.sleep(BOUND_S)
-        await forget_history(world)
-        await asyncio.sleep(LONGEST_WAIT_S)
+        await lose_history(world)
+        await asyncio.sleep(MAX_STORE_WAIT_S)
         back_at = world.clock.now()
         world.take_back(HALL)
         await asyncio.sleep(1)
-        assert traffic.starts_after(HALL, back_at)
+        assert traffic.request_times_after(HALL, back_at)
         assert not any(node.in_force.evacuations.halls for node in world.nodes.values())
 
     run_traffic(test)
 
 
-def test_two_halls_are_emptied_at_once():
+def test_two_halls_are_evacuated_at_once():
     async def test(world, traffic):
         asked_at = world.clock.now()
         world.evacuate("hall-a")
         world.evacuate("hall-b")
         await asyncio.sleep(BOUND_S)
         for hall in ("hall-a", "hall-b"):
-            assert traffic.starts_after(hall, asked_at + EMPTYING_PART * BOUND_S + HEARD_S) == []
+            assert (
+                traffic.request_times_after(
+                    hall, asked_at + RAMP_DOWN_FRACTION * BOUND_S + PROPAGATION_S
+                )
+                == []
+            )
         await assert_served(world)
 
     run_traffic(test)
 
 
 @pytest.mark.parametrize("deadline_s", [8.0, 6.0])
-def test_what_no_hall_may_take_is_refused_at_once(deadline_s):
+def test_request_that_no_hall_may_serve_is_refused_at_once(deadline_s):
     async def test(world):
         await _serve_halls(world)
         await world.until_formed()
@@ -250,10 +260,10 @@
     run_world(test, halls=3, nodes=1, domains=3)
 
 
-def test_hall_that_the_settings_do_not_name_is_emptied_too():
+def test_hall_that_the_settings_do_not_name_is_evacuated_too():
     async def test(world):
         seen = await _serve_halls(world)
-        added = await world.add_plain("desk-z", answer_whole, "hall-z")
+        added = await world.add_plain("desk-z", echo_path, "hall-z")
         world.evacuate("hall-z")
         await asyncio.sleep(BOUND_S)
         for name in world.nodes:
@@ -265,19 +275,19 @@
     run_world(test, halls=3, nodes=3, domains=0)
 
 
-def test_hall_that_no_renewal_names_is_emptied_as_soon_as_that_is_known():
+def test_hall_that_no_renewal_names_is_evacuated_at_once():
     clock = VirtualClock()
 
     async def test():
         evacuations = Evacuations(BOUND_S, ("hall-a",), clock, EventLog("node"))
         rows = [EvacuationRow("hall-a", 3), EvacuationRow("hall-z", 4)]
-        evacuations.take_rows(rows, True, 4, unproven_since=clock.now())
+        evacuations.apply_rows(rows, True, 4, unproven_since=clock.now())
         assert (evacuations.share("hall-a"), evacuations.share("hall-z")) == (1.0, 0.0)
 
     run_virtual(test())
 
 
-def test_second_sends_go_elsewhere():
+def test_retries_avoid_the_evacuated_hall():
     async def test(world):
         seen = await _serve_halls(world, hall_b=fail, hall_c=refuse)
         world.evacuate(HALL)
@@ -304,7 +314,7 @@
         resumed = [runs for runs in world.fabric.checks.runs.values() if len(runs) > 1]
         assert resumed
         assert all(len(answer.event_ids) == 12 for answer in answers)
-        assert traffic.starts_after(HALL, asked_at + BOUND_S) == []
+        assert traffic.request_times_after(HALL, asked_at + BOUND_S) == []
 
     run_traffic(test, nodes=1)
 
@@ -312,12 +322,12 @@
 # What nodes make of each other's words.
 
 
-def test_older_word_is_put_aside_and_proves_nothing():
+def test_older_report_is_discarded_and_is_no_evidence():
     async def test(world):
         await asyncio.sleep(3)
         node = world.nodes["node-0"]
         world.evacuate(HALL)
-        await asyncio.sleep(HEARD_S)
+        await asyncio.sleep(PROPAGATION_S)
         in_force, evacuations = node.in_force, node.in_force.evacuations
         dated, later = in_force.evidence_at, world.clock.now() + 100
         older = evacuations.revision - 1
@@ -330,14 +340,14 @@
     run_world(test, halls=3, nodes=1, domains=0)
 
 
-def test_newer_word_counts_from_the_latest_proof_of_what_was_known():
+def test_newer_report_counts_from_the_latest_evidence():
     clock = VirtualClock()
 
     async def test():
         evacuations = Evacuations(BOUND_S, ("hall-a",), clock, EventLog("node"))
         await asyncio.sleep(10)
         assert evacuations.take_passed(frozenset({"hall-a"}), 7, clock.now() - 2)
-        await asyncio.sleep(EMPTYING_PART * BOUND_S - 2 - 0.1)
+        await asyncio.sleep(RAMP_DOWN_FRACTION * BOUND_S - 2 - 0.1)
         assert 0 < evacuations.share("hall-a") < 1
         await asyncio.sleep(0.1)
         assert evacuations.share("hall-a") == 0
@@ -345,7 +355,7 @@
     run_virtual(test())
 
 
-def test_node_without_any_proof_sends_nothing_at_all():
+def test_node_without_evidence_sends_nothing():
     evacuations = Evacuations(BOUND_S, ("hall-a",), VirtualClock(), EventLog("node"))
 
     async def test():
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/known/tests/test_facts_machine.py
@@ -9,8 +9,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from mulleinreach.gateway.known.crashes import HOLD_S
-from mulleinreach.gateway.known.notices import NoticeBook
-from mulleinreach.gateway.known.tests.test_crashes import BookDesk, SilentLog, SteppedClock
+from mulleinreach.gateway.known.notices import NoticeTracker
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog, TrackerHarness
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Notice
@@ -21,7 +21,7 @@
 UPSTREAMS = st.sampled_from(["u0", "u1", "u2", "u3"])
 SECONDS = st.sampled_from([0.0, 0.05, 0.7, 30.0, 500.0, 1500.0])
 # What crosses the wire is dated from before it was asked for.
-ON_THE_WAY_S = st.sampled_from([0.0, 0.1, 0.6])
+TRANSIT_S = st.sampled_from([0.0, 0.1, 0.6])
 ROUNDING_S = 1e-6
 
 
@@ -30,67 +30,67 @@
 
     def __init__(self):
         super().__init__()
-        self.clock = SteppedClock()
-        self.desks = [BookDesk(self.clock, seed) for seed in range(NODES)]
+        self.clock = ManualClock()
+        self.harnesses = [TrackerHarness(self.clock, seed) for seed in range(NODES)]
         # The end of the latest hold that any node has decided on by itself, by content.
-        self.ends_at: dict[int, float] = {}
-        self.told: list[tuple[float, tuple[HeldContent, ...]]] = []
+        self.expires_at: dict[int, float] = {}
+        self.sent_holds: list[tuple[float, tuple[HeldContent, ...]]] = []
 
     def _note_decisions(self, act) -> None:
-        counts = [len(desk.held) for desk in self.desks]
+        counts = [len(harness.held) for harness in self.harnesses]
         act()
-        for desk, count in zip(self.desks, counts, strict=True):
-            for content in desk.held[count:]:
-                self.ends_at[content] = self.clock.now() + HOLD_S
+        for harness, count in zip(self.harnesses, counts, strict=True):
+            for content in harness.held[count:]:
+                self.expires_at[content] = self.clock.now() + HOLD_S
 
     @rule(node=st.integers(0, NODES - 1), content=CONTENTS, name=UPSTREAMS)
     def upstream_ends(self, node, content, name):
-        self._note_decisions(lambda: self.desks[node].end(content, name))
+        self._note_decisions(lambda: self.harnesses[node].end(content, name))
 
-    @rule(teller=st.integers(0, NODES - 1), hearer=st.integers(0, NODES - 1))
-    def sightings_are_told(self, teller, hearer):
-        told = self.desks[teller].book.own_sightings(includes_old=True)
-        self._note_decisions(lambda: self.desks[hearer].book.take(told))
+    @rule(sender=st.integers(0, NODES - 1), receiver=st.integers(0, NODES - 1))
+    def observations_are_sent(self, sender, receiver):
+        sent_holds = self.harnesses[sender].tracker.own_observations(includes_old=True)
+        self._note_decisions(lambda: self.harnesses[receiver].tracker.record(sent_holds))
 
-    @rule(teller=st.integers(0, NODES - 1), on_the_way_s=ON_THE_WAY_S)
-    def holds_are_sent(self, teller, on_the_way_s):
-        asked_at = self.clock.now() - on_the_way_s
-        self.told.append((asked_at, self.desks[teller].book.held()))
+    @rule(sender=st.integers(0, NODES - 1), transit_s=TRANSIT_S)
+    def holds_are_sent(self, sender, transit_s):
+        requested_at = self.clock.now() - transit_s
+        self.sent_holds.append((requested_at, self.harnesses[sender].tracker.held()))
 
-    @precondition(lambda self: self.told)
-    @rule(data=st.data(), hearer=st.integers(0, NODES - 1))
-    def holds_arrive_late_or_doubled(self, data, hearer):
-        asked_at, held = data.draw(st.sampled_from(self.told))
-        self.desks[hearer].book.take_held(held, asked_at)
+    @precondition(lambda self: self.sent_holds)
+    @rule(data=st.data(), receiver=st.integers(0, NODES - 1))
+    def holds_arrive_late_or_duplicated(self, data, receiver):
+        requested_at, held = data.draw(st.sampled_from(self.sent_holds))
+        self.harnesses[receiver].tracker.merge_held(held, requested_at)
 
     @rule(node=st.integers(0, NODES - 1))
     def node_is_replaced_and_inherits(self, node):
-        held = self.desks[(node + 1) % NODES].book.held()
-        self.desks[node] = BookDesk(self.clock, random.Random(node).getrandbits(16))
-        self.desks[node].book.take_held(held)
+        held = self.harnesses[(node + 1) % NODES].tracker.held()
+        self.harnesses[node] = TrackerHarness(self.clock, random.Random(node).getrandbits(16))
+        self.harnesses[node].tracker.merge_held(held)
 
     @rule(seconds=SECONDS)
-    def time_goes_by(self, seconds):
+    def time_passes(self, seconds):
         self.clock.at += seconds
 
     @invariant()
-    def nothing_is_held_beyond_its_end(self):
-        for desk in self.desks:
-            for held in desk.book.held():
+    def no_hold_outlasts_its_expiry(self):
+        for harness in self.harnesses:
+            for held in harness.tracker.held():
                 until = self.clock.now() + held.remaining_s
-                assert until <= self.ends_at[held.content] + ROUNDING_S
+                assert until <= self.expires_at[held.content] + ROUNDING_S
 
     @invariant()
-    def nodes_agree_once_they_have_told_each_other(self):
-        told = [desk.book.held() for desk in self.desks]
-        books = [BookDesk(self.clock, 90 + n).book for n in range(2)]
-        for book, order in zip(books, (told, told[::-1]), strict=True):
+    def trackers_converge_in_any_order(self):
+        sent_holds = [harness.tracker.held() for harness in self.harnesses]
+        trackers = [TrackerHarness(self.clock, 90 + n).tracker for n in range(2)]
+        for tracker, order in zip(trackers, (sent_holds, sent_holds[::-1]), strict=True):
             for held in (*order, *order):
-                book.take_held(held)
-        assert dict_of(books[0].held()) == dict_of(books[1].held())
+                tracker.merge_held(held)
+        assert remaining_by_content(trackers[0].held()) == remaining_by_content(trackers[1].held())
 
 
-def dict_of(held: tuple[HeldContent, ...]) -> dict[int, float]:
+def remaining_by_content(held: tuple[HeldContent, ...]) -> dict[int, float]:
     """Return the times that remain, by content."""
     return {h.content: round(h.remaining_s, 3) for h in held}
 
@@ -100,29 +100,29 @@
 
     def __init__(self):
         super().__init__()
-        self.clock = SteppedClock()
+        self.clock = ManualClock()
         self.directory = UpstreamDirectory()
-        self.book = NoticeBook(self.directory, self.clock, SilentLog(), lambda: None)
-        self.ends_at: dict[str, float] = {}
+        self.tracker = NoticeTracker(self.directory, self.clock, NullLog(), lambda: None)
+        self.expires_at: dict[str, float] = {}
 
-    @rule(name=UPSTREAMS, rest_s=st.sampled_from([0.25, 1.0, 3.0, 60.0]), leaves=st.booleans())
-    def upstream_asks(self, name, rest_s, leaves):
+    @rule(name=UPSTREAMS, rest_s=st.sampled_from([0.25, 1.0, 3.0, 60.0]), is_leaving=st.booleans())
+    def upstream_requests_rest(self, name, rest_s, is_leaving):
         upstream = make_upstream(name, "desk", 1, None)
-        self.book.take(upstream, Notice(leaves, rest_s))
+        self.tracker.record(upstream, Notice(is_leaving, rest_s))
         end = self.clock.now() + rest_s
-        self.ends_at[name] = max(end, self.ends_at.get(name, end))
+        self.expires_at[name] = max(end, self.expires_at.get(name, end))
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 2.0, 59.0]))
-    def time_goes_by(self, seconds):
+    def time_passes(self, seconds):
         self.clock.at += seconds
 
     @invariant()
-    def each_rests_until_its_last_end(self):
-        resting = {name for name, end in self.ends_at.items() if end > self.clock.now()}
-        assert set(self.book.resting()) == resting
+    def each_rest_lasts_until_its_latest_end(self):
+        resting = {name for name, end in self.expires_at.items() if end > self.clock.now()}
+        assert set(self.tracker.resting()) == resting
         for name in resting:
-            remaining_s = self.book.rest(name).remaining_s
-            assert abs(remaining_s - (self.ends_at[name] - self.clock.now())) < ROUNDING_S
+            remaining_s = self.tracker.rest(name).remaining_s
+            assert abs(remaining_s - (self.expires_at[name] - self.clock.now())) < ROUNDING_S
 
 
 HeldContents.TestCase.settings = settings(max_examples=40, stateful_step_count=30)
