--- a/mulleinreach/gateway/known/tests/test_homes.py
+++ b/mulleinreach/gateway/known/tests/test_homes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.logged import fields_of, keep_events
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST
 from mulleinreach.standins.gateway.world import LARGE, make_configuration
@@ -19,7 +19,7 @@
 REFUSED_WITHIN_S = 0.05
 
 
-def bound_configuration(of_routes: set[str], of_organisation: set[str]):
+def restricted_configuration(of_routes: set[str], of_organisation: set[str]):
     """Return a configuration with homes; an empty set is none."""
     configuration = make_configuration(2)
     routes = tuple(
@@ -32,17 +32,17 @@
     return replace(configuration, routes=routes, organisations=organisations)
 
 
-async def take_configuration(world, configuration) -> None:
+async def apply_configuration(world, configuration) -> None:
     """Write a configuration and wait until the node has it."""
     world.store.put(CONFIGURATION, NEWEST, configuration)
     node = world.nodes["node-0"]
     await world.until(lambda: node.in_force.version == configuration.version)
 
 
-async def serve_desk_in_each_hall(world) -> None:
+async def start_upstream_in_each_hall(world) -> None:
     """Start a plain upstream in each hall."""
     for hall in world.halls:
-        await world.add_plain(hall, answer_whole, hall)
+        await world.add_plain(hall, echo_path, hall)
     await world.until(lambda: len(world.nodes["node-0"].directory) == len(world.halls))
 
 
@@ -61,9 +61,9 @@
     of_routes, of_organisation, serving
 ):
     async def test(world):
-        await serve_desk_in_each_hall(world)
-        await take_configuration(world, bound_configuration(of_routes, of_organisation))
-        logged = keep_events(world.nodes["node-0"])
+        await start_upstream_in_each_hall(world)
+        await apply_configuration(world, restricted_configuration(of_routes, of_organisation))
+        logged = record_events(world.nodes["node-0"])
         asked_at = world.clock.now()
         answers = await asyncio.gather(*(world.call("/order/1") for _ in range(30)))
         statuses = {answer.status for answer in answers}
@@ -71,26 +71,26 @@
         assert statuses == ({200} if serving else {503})
         if not serving:
             assert world.clock.now() - asked_at < REFUSED_WITHIN_S
-            told = fields_of(logged, "no_upstream")
-            assert [fields["abroad"] for fields in told] == [3] * 30
+            no_upstream_events = event_fields(logged, "no_upstream")
+            assert [fields["abroad"] for fields in no_upstream_events] == [3] * 30
 
     run_world(test, nodes=1, domains=0, **WORLD)
 
 
-def test_homes_of_an_organisation_do_not_bind_requests_without_its_key():
+def test_homes_of_an_organisation_do_not_restrict_requests_without_its_key():
     async def test(world):
-        await serve_desk(world, answer_whole)
-        await take_configuration(world, bound_configuration(set(), {SOUTH}))
+        await start_plain_upstreams(world, echo_path)
+        await apply_configuration(world, restricted_configuration(set(), {SOUTH}))
         assert (await world.call("/public/1", key=None)).status == 200
         assert (await world.call("/order/1")).status == 503
 
     run_world(test, nodes=1, domains=0, **WORLD)
 
 
-def test_streams_begin_and_resume_at_home_or_are_refused_at_once():
+def test_streams_begin_and_resume_in_their_regions_or_are_refused_at_once():
     async def test(world):
         await world.until_formed()
-        await take_configuration(world, bound_configuration({NORTH}, set()))
+        await apply_configuration(world, restricted_configuration({NORTH}, set()))
         away = [h for h in world.fabric.hosts.values() if h.upstream.hall != "hall-a"]
         answers = await asyncio.gather(*(world.stream(2) for _ in range(20)))
         assert {answer.status for answer in answers} == {200}
@@ -99,7 +99,9 @@
         assert (await world.stream(5)).is_cut
         ran_at = {host for hosts in world.fabric.checks.runs.values() for host in hosts}
         assert ran_at.isdisjoint(host.id for host in away)
-        await take_configuration(world, replace(bound_configuration({"none"}, set()), version=3))
+        await apply_configuration(
+            world, replace(restricted_configuration({"none"}, set()), version=3)
+        )
         asked_at = world.clock.now()
         answer = await world.stream(2)
         assert answer.status == 503
--- a/mulleinreach/gateway/known/tests/test_reports.py
+++ b/mulleinreach/gateway/known/tests/test_reports.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import replace
 
-from mulleinreach.gateway.tests.support import keep_asking, run_world
+from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.standins.gateway.hosts import REPORT_LAG_S
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE
@@ -28,7 +28,7 @@
         await asyncio.sleep(0.01)
         host.leave(*known.place)
         await asyncio.sleep(REPORT_LAG_S)
-        assert not coordinator.directory.put_report(known, as_of)
+        assert not coordinator.directory.apply_report(known, as_of)
         assert coordinator.directory.get(host.id).place != known.place
 
     run_world(test)
@@ -43,7 +43,7 @@
         report = directory.get(host.id)
         host.drain()
         await asyncio.sleep(0.2)
-        assert directory.put_report(replace(report, pace=2.0), world.clock.now())
+        assert directory.apply_report(replace(report, pace=2.0), world.clock.now())
         assert directory.get(host.id).state is UpstreamState.DRAINING
 
     run_world(test)
@@ -54,24 +54,24 @@
         await world.until_formed()
         await asyncio.sleep(3)
         coordinator = world.nodes[world.coordinator()]
-        withheld = []
-        note = coordinator.log.event
+        not_joined = []
+        log_event = coordinator.log.event
 
         def event(name, **fields):
             if name == "group_not_joined":
-                withheld.append(fields)
-            note(name, **fields)
+                not_joined.append(fields)
+            log_event(name, **fields)
 
         coordinator.log.event = event
         host = _open_head(world)
         lost = world.fabric.hosts[host.standing.members[2]]
-        asking = asyncio.create_task(keep_asking(world, LARGE))
+        traffic = asyncio.create_task(request_streams_forever(world, LARGE))
         await asyncio.sleep(1)
-        dying = asyncio.create_task(lost.die())
+        host_failure = asyncio.create_task(lost.die())
         await asyncio.sleep(3)
         await world.until(lambda: world.open_groups(LARGE) == 2)
-        asking.cancel()
-        await dying
-        assert withheld == []
+        traffic.cancel()
+        await host_failure
+        assert not_joined == []
 
     run_world(test)
--- a/mulleinreach/gateway/known/tests/test_routing.py
+++ b/mulleinreach/gateway/known/tests/test_routing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mulleinreach.common import Address, VirtualClock
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 from mulleinreach.gateway.known.routing import Router
 from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.upstream import Upstream
@@ -23,15 +23,15 @@
     return Head(upstream, f"group-{upstream_id}", 1, LARGE)
 
 
-def _choose(loads: LoadBook, names: list[str]) -> str:
+def _choose(loads: LoadTracker, names: list[str]) -> str:
     router = Router(loads, random.Random(1))
     heads = [_head(name) for name in names]
     return router.choose_head(heads, PROFILE, 100, NO_SUSPECTS).upstream.id
 
 
-def test_busy_head_is_better_than_one_that_stands_still():
+def test_busy_head_is_preferred_to_a_stalled_one():
     async def test():
-        loads = LoadBook(VirtualClock())
+        loads = LoadTracker(VirtualClock())
         loads.start("still")
         busy = [loads.start("busy") for _ in range(6)]
         await asyncio.sleep(0.4)
@@ -42,30 +42,30 @@
 
 
 @pytest.mark.parametrize(("silent_s", "chosen"), [(0.1, "far"), (0.4, "busy")])
-def test_silence_that_others_saw_counts(silent_s, chosen):
+def test_silence_reported_by_other_nodes_counts(silent_s, chosen):
     async def test():
-        loads = LoadBook(VirtualClock())
-        told = [LoadReport("far", 1, 0, silent_s, 0.9), LoadReport("busy", 6, 0, 0.0, 0.9)]
-        loads.take_totals(told, [])
+        loads = LoadTracker(VirtualClock())
+        totals = [LoadReport("far", 1, 0, silent_s, 0.9), LoadReport("busy", 6, 0, 0.0, 0.9)]
+        loads.update_totals(totals, [])
         assert _choose(loads, ["far", "busy"]) == chosen
 
     run_virtual(test())
 
 
-def test_byte_that_came_since_others_told_shows_that_a_head_goes_on():
+def test_byte_received_after_the_totals_shows_that_a_head_is_not_stalled():
     async def test():
-        loads = LoadBook(VirtualClock())
-        ticket = loads.start("far")
-        loads.take_totals([LoadReport("far", 1, 0, 0.4, 0.9), LoadReport("busy", 6, 0, 0, 1)], [])
-        ticket.progress()
+        loads = LoadTracker(VirtualClock())
+        request = loads.start("far")
+        loads.update_totals([LoadReport("far", 1, 0, 0.4, 0.9), LoadReport("busy", 6, 0, 0, 1)], [])
+        request.progress()
         assert _choose(loads, ["far", "busy"]) == "far"
 
     run_virtual(test())
 
 
-def test_heads_that_all_stand_still_are_used_all_the_same():
+def test_stalled_head_is_used_if_there_is_no_other():
     async def test():
-        loads = LoadBook(VirtualClock())
+        loads = LoadTracker(VirtualClock())
         loads.start("still")
         await asyncio.sleep(0.4)
         assert _choose(loads, ["still"]) == "still"
@@ -74,9 +74,11 @@
 
 
 @pytest.mark.parametrize(("running_near", "is_near_chosen"), [(0, True), (3, True), (13, False)])
-def test_head_of_the_own_hall_is_taken_unless_it_is_clearly_slower(running_near, is_near_chosen):
+def test_head_of_the_own_hall_is_preferred_unless_it_is_clearly_slower(
+    running_near, is_near_chosen
+):
     async def test():
-        loads = LoadBook(VirtualClock())
+        loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(1), "own")
         for _ in range(running_near):
             loads.start("near").progress()
@@ -91,9 +93,9 @@
 
 
 @pytest.mark.parametrize(("running_near", "chosen"), [(0, "near"), (1, "near"), (3, "far")])
-def test_plain_upstream_of_the_own_hall_is_taken_while_it_is_not_busier(running_near, chosen):
+def test_plain_upstream_of_the_own_hall_is_preferred_unless_it_is_busier(running_near, chosen):
     async def test():
-        loads = LoadBook(VirtualClock())
+        loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(3), "own")
         upstreams = [_head("near", "own").upstream, _head("far", "other").upstream]
         for _ in range(running_near):
@@ -105,9 +107,9 @@
     run_virtual(test())
 
 
-def test_cold_head_is_left_alone_until_the_others_are_clearly_busier():
+def test_cold_head_is_avoided_until_the_others_are_clearly_busier():
     async def test():
-        loads = LoadBook(VirtualClock())
+        loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(1))
         heads = [_head("cold"), _head("warm")]
 
@@ -126,9 +128,9 @@
 
 
 @pytest.mark.parametrize(("running_warm", "chosen"), [(1, "warm"), (3, "cold")])
-def test_cold_plain_upstream_is_left_alone_until_the_others_are_busier(running_warm, chosen):
+def test_cold_plain_upstream_is_avoided_until_the_others_are_busier(running_warm, chosen):
     async def test():
-        loads = LoadBook(VirtualClock())
+        loads = LoadTracker(VirtualClock())
         router = Router(loads, random.Random(3))
         upstreams = [_head("warm").upstream, _head("cold").upstream]
         for _ in range(running_warm):
--- a/mulleinreach/gateway/known/tests/test_starts.py
+++ b/mulleinreach/gateway/known/tests/test_starts.py
@@ -17,16 +17,16 @@
 
 def directory_with(*upstreams: Upstream, replaced: list[str] | None = None) -> UpstreamDirectory:
     """Return a directory that holds some upstreams."""
-    kept = [] if replaced is None else replaced
-    directory = UpstreamDirectory(kept.append)
-    directory.replace_all(5, list(upstreams), heard_at=1.0)
+    replaced_ids = [] if replaced is None else replaced
+    directory = UpstreamDirectory(replaced_ids.append)
+    directory.replace_all(5, list(upstreams), observed_at=1.0)
     return directory
 
 
 def test_later_start_replaces_an_earlier_one():
     replaced = []
     directory = directory_with(FIRST, host("v"), replaced=replaced)
-    directory.apply(ListChange(7, [SECOND], []), heard_at=2.0)
+    directory.apply(ListChange(7, [SECOND], []), observed_at=2.0)
     assert directory.get(FIRST.id) is None
     assert directory.get(SECOND.id) == SECOND
     assert replaced == [FIRST.id]
@@ -37,14 +37,14 @@
 
 def test_start_whose_clock_was_set_back_replaces_too():
     directory = directory_with(SECOND)
-    directory.apply(ListChange(7, [FIRST], []), heard_at=2.0)
+    directory.apply(ListChange(7, [FIRST], []), observed_at=2.0)
     assert directory.ids() == [FIRST.id]
 
 
 def test_whole_list_replaces_starts():
     replaced = []
     directory = directory_with(FIRST, replaced=replaced)
-    directory.replace_all(9, [SECOND], heard_at=2.0)
+    directory.replace_all(9, [SECOND], observed_at=2.0)
     assert directory.ids() == [SECOND.id]
     assert replaced == [FIRST.id]
     [change] = directory.changes_since(5)
@@ -53,32 +53,32 @@
 
 def test_changes_that_are_passed_on_replace_starts_at_other_nodes():
     coordinator, follower = directory_with(FIRST), directory_with(FIRST)
-    coordinator.apply(ListChange(7, [SECOND], []), heard_at=2.0)
-    coordinator.apply(ListChange(8, [], ["u"]), heard_at=3.0)
+    coordinator.apply(ListChange(7, [SECOND], []), observed_at=2.0)
+    coordinator.apply(ListChange(8, [], ["u"]), observed_at=3.0)
     for change in coordinator.changes_since(5):
-        follower.apply(change, heard_at=4.0)
+        follower.apply(change, observed_at=4.0)
     assert coordinator.ids() == follower.ids() == []
 
 
 def test_removal_names_whichever_start_runs():
     directory = directory_with(SECOND)
-    directory.apply(ListChange(7, [], ["u"]), heard_at=2.0)
+    directory.apply(ListChange(7, [], ["u"]), observed_at=2.0)
     assert directory.ids() == []
     assert not directory.is_replaced(SECOND.id)
 
 
 def test_earlier_start_is_not_kept_over_an_outage_once_a_later_one_is_listed():
     directory = directory_with(FIRST)
-    directory.apply(ListChange(7, [], ["u"]), heard_at=2.0, keeps_removed=True)
+    directory.apply(ListChange(7, [], ["u"]), observed_at=2.0, keeps_removed=True)
     assert directory.ids() == [FIRST.id]
-    directory.apply(ListChange(8, [SECOND], []), heard_at=2.5, keeps_removed=True)
+    directory.apply(ListChange(8, [SECOND], []), observed_at=2.5, keeps_removed=True)
     assert directory.ids() == [SECOND.id]
-    assert directory.drop_kept() == 0
+    assert directory.drop_retained() == 0
     assert directory.ids() == [SECOND.id]
 
 
 def test_report_of_an_earlier_start_is_put_aside():
     directory = directory_with(FIRST)
-    directory.apply(ListChange(7, [SECOND], []), heard_at=2.0)
-    assert not directory.put_report(FIRST, as_of=9.0)
+    directory.apply(ListChange(7, [SECOND], []), observed_at=2.0)
+    assert not directory.apply_report(FIRST, as_of=9.0)
     assert directory.ids() == [SECOND.id]
--- a/mulleinreach/gateway/known/tests/test_store_calls.py
+++ b/mulleinreach/gateway/known/tests/test_store_calls.py
@@ -11,11 +11,11 @@
 from mulleinreach.standins.gateway.store import CONFIGURATION, UPSTREAMS
 from mulleinreach.standins.gateway.world import make_configuration
 
-CALM_S = 20
+IDLE_S = 20
 OUTAGE_S = 10
 # Each node asks once for the configuration and for the list when it misses what the
 # coordinator passes on: it has to hear of what leaves also if only the coordinator is cut off.
-QUESTIONS_A_NODE = 2
+DIRECT_READS_PER_NODE = 2
 
 
 async def count_calls(world, during_s: float) -> int:
@@ -29,7 +29,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        assert await count_calls(world, CALM_S) < 3 * CALM_S
+        assert await count_calls(world, IDLE_S) < 3 * IDLE_S
         for node in world.nodes.values():
             assert node.in_force.evidence_age_s() < 1.3
             assert node.follower.list_age_s() < 1.5
@@ -57,12 +57,12 @@
         await asyncio.sleep(3)
         source = getattr(world.nodes[world.coordinator()].ports, f"{silent}s".replace("ss", "s"))
 
-        async def say_nothing(revision, wait_s):
+        async def stop_responding(revision, wait_s):
             await asyncio.sleep(wait_s + 1.0)
             del source.wait
             return await source.wait(revision, wait_s)
 
-        source.wait = say_nothing
+        source.wait = stop_responding
         await asyncio.sleep(2.5)
         world.store.put(CONFIGURATION, "newest", make_configuration(2))
         leaving = next(iter(world.fabric.hosts.values()))
@@ -109,12 +109,12 @@
 def test_outage_costs_a_few_times_what_a_calm_time_does(outage, nodes, factor):
     async def test(world):
         await asyncio.sleep(12)
-        calm = await count_calls(world, OUTAGE_S)
+        idle = await count_calls(world, OUTAGE_S)
         setattr(world.store, outage, True)
         calls = await count_calls(world, OUTAGE_S)
         setattr(world.store, outage, False)
-        allowed = factor * calm + QUESTIONS_A_NODE * nodes
-        assert calls <= allowed, (calls, calm)
+        allowed = factor * idle + DIRECT_READS_PER_NODE * nodes
+        assert calls <= allowed, (calls, idle)
         await world.until(lambda: world.coordinator() is not None, 1.5)
         await asyncio.sleep(0.5)
         for node in world.nodes.values():
@@ -147,10 +147,10 @@
         world.store.put(CONFIGURATION, "newest", make_configuration(2))
         await asyncio.sleep(0.5)
         assert holder.in_force.operator_rows() not in (None, OperatorRows(1))
-        dated = holder.in_force.evidence_at
-        holder.in_force.confirm(rows, dated + 100)
-        assert holder.in_force.evidence_at == dated
-        holder.in_force.confirm(holder.in_force.operator_rows(), dated + 100)
-        assert holder.in_force.evidence_at == dated + 100
+        evidence_at = holder.in_force.evidence_at
+        holder.in_force.confirm(rows, evidence_at + 100)
+        assert holder.in_force.evidence_at == evidence_at
+        holder.in_force.confirm(holder.in_force.operator_rows(), evidence_at + 100)
+        assert holder.in_force.evidence_at == evidence_at + 100
 
     run_world(test, nodes=1, domains=0)
--- a/mulleinreach/gateway/known/tests/test_store_outage.py
+++ b/mulleinreach/gateway/known/tests/test_store_outage.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from mulleinreach.gateway.coordination.lease import Renewal, Resignation
-from mulleinreach.gateway.known.upstream_following import TOLD_TO_KEEP_S
+from mulleinreach.gateway.coordination.lease import RenewalOutcome, Resignation
+from mulleinreach.gateway.known.upstream_following import RETENTION_NOTICE_TTL_S
 from mulleinreach.gateway.known.upstreams import Group
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Membership, MemberState
 from mulleinreach.standins.gateway.store import UPSTREAMS
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
 
 OUTAGE_S = 4.0
-BACK_AFTER_S = 1.8
+RELIST_DELAY_S = 1.8
 
 
-async def _lapse_all(world) -> None:
+async def _expire_all_rows(world) -> None:
     """Take the store away, and return it without the hosts' rows."""
     world.store.is_down = True
     await asyncio.sleep(OUTAGE_S)
@@ -37,8 +37,8 @@
         await world.until_formed()
         await asyncio.sleep(3)
         epochs = _epochs(world)
-        await _lapse_all(world)
-        for _ in range(int(BACK_AFTER_S / 0.1)):
+        await _expire_all_rows(world)
+        for _ in range(int(RELIST_DELAY_S / 0.1)):
             await asyncio.sleep(0.1)
             for name in world.nodes:
                 assert world.open_groups(LARGE, name) == 2
@@ -57,11 +57,11 @@
         await world.until_formed()
         follower = world.nodes["node-0"].follower
         for _ in range(20):
-            follower.take_outage(keeps_removed=True)
+            follower.note_coordinator_retention(keeps_removed=True)
             await asyncio.sleep(0.2)
         assert follower.keeps_removed()
-        follower.take_outage(keeps_removed=False)
-        await asyncio.sleep(TOLD_TO_KEEP_S + 0.1)
+        follower.note_coordinator_retention(keeps_removed=False)
+        await asyncio.sleep(RETENTION_NOTICE_TTL_S + 0.1)
         assert not follower.keeps_removed()
 
     run_world(test, nodes=1)
@@ -71,7 +71,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(3)
-        await _lapse_all(world)
+        await _expire_all_rows(world)
         missing, *others = world.fabric.hosts.values()
         for host in others:
             host.list_again()
@@ -109,7 +109,7 @@
         leaving.cut_from_list()
         for node in others:
             del node.ports.upstreams.wait
-            node.follower.heard_at = world.clock.now() - 3.0
+            node.follower.current_as_of = world.clock.now() - 3.0
             await node.follower.read_once()
             assert node.directory.get(leaving.id) is None
 
@@ -158,7 +158,7 @@
         await world.until_formed()
         await asyncio.sleep(3)
         old = world.nodes[world.coordinator()]
-        turn_away(old)
+        block_store_access(old)
         await world.until(lambda: not old.lease.is_held(), 3)
         taken_s = await world.until(lambda: world.coordinator() is not None, 3)
         assert taken_s < 1.5
@@ -179,7 +179,7 @@
         assert await other.lease.acquire_after(
             Resignation(old.lease.token, old.lease.record.renewal)
         )
-        assert await old.lease.renew() is Renewal.LOST
+        assert await old.lease.renew() is RenewalOutcome.LOST
 
     run_world(test, nodes=2)
 
@@ -212,7 +212,7 @@
     run_world(test)
 
 
-@pytest.mark.parametrize("back_after_s", [0.5, BACK_AFTER_S])
+@pytest.mark.parametrize("back_after_s", [0.5, RELIST_DELAY_S])
 def test_nodes_that_start_after_an_outage_leave_groups_whose_rows_lapsed_alone(back_after_s):
     async def test(world):
         await world.until_formed()
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/known/tests/test_store_turns.py
@@ -9,15 +9,15 @@
 import pytest
 
 from mulleinreach.common import EventLog, VirtualClock
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.known.schedules import direct_read_schedule
 from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
-from mulleinreach.gateway.known.turns import reading_turn
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import Unavailable
 from mulleinreach.standins.virtual import run_virtual
 
-MANY = 195
-LARGE_SITE = Bounds(leaving_s=4.0, config_s=4.0)
+MANY_NODES = 195
+LARGE_SITE = DeploymentBounds(leaving_propagation_s=4.0, config_propagation_s=4.0)
 
 
 def test_node_that_loses_its_coordinator_asks_soon_whatever_it_waited_for():
@@ -28,14 +28,14 @@
             EventLog("a"),
             VirtualClock(),
             random.Random(1),
-            lambda failures: pause_s(role[0], MANY, failures),
+            lambda failures: pause_s(role[0], MANY_NODES, failures),
         )
         calls.count("configuration_wait", Unavailable("turned away"))
-        asking = asyncio.create_task(calls.admit())
+        admission = asyncio.create_task(calls.admit())
         await asyncio.sleep(0.5)
-        assert not asking.done()
-        role[0] = StoreRole.ALONE
-        await asyncio.wait_for(asking, 0.6)
+        assert not admission.done()
+        role[0] = StoreRole.NO_COORDINATOR
+        await asyncio.wait_for(admission, 0.6)
 
     run_virtual(test())
 
@@ -46,15 +46,21 @@
 
 @pytest.mark.parametrize("cores", [0.5, 2.0])
 def test_turn_leaves_time_to_read_within_the_bounds(cores):
-    turns = [reading_turn(LARGE_SITE, cores, False, random.Random(n)) for n in range(200)]
-    assert all(1.5 + turn.extra_s < 3.1 for turn in turns)
-    small = reading_turn(Bounds(), cores, False, random.Random(1))
+    schedules = [
+        direct_read_schedule(LARGE_SITE, cores, False, random.Random(n)) for n in range(200)
+    ]
+    assert all(1.5 + schedule.extra_s < 3.1 for schedule in schedules)
+    small = direct_read_schedule(DeploymentBounds(), cores, False, random.Random(1))
     assert small.extra_s == 0
     tight = replace(LARGE_SITE, evacuation_s=2.5)
-    assert reading_turn(tight, cores, False, random.Random(1)).extra_s == 0
+    assert direct_read_schedule(tight, cores, False, random.Random(1)).extra_s == 0
 
 
 def test_nodes_with_much_processor_time_ask_first():
-    ample = [reading_turn(LARGE_SITE, 2.0, False, random.Random(n)).extra_s for n in range(15)]
-    scarce = [reading_turn(LARGE_SITE, 0.5, False, random.Random(n)).extra_s for n in range(180)]
+    ample = [
+        direct_read_schedule(LARGE_SITE, 2.0, False, random.Random(n)).extra_s for n in range(15)
+    ]
+    scarce = [
+        direct_read_schedule(LARGE_SITE, 0.5, False, random.Random(n)).extra_s for n in range(180)
+    ]
     assert max(ample) + 0.2 < min(scarce)
--- a/mulleinreach/gateway/known/tests/test_told_changes.py
+++ b/mulleinreach/gateway/known/tests/test_told_changes.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from mulleinreach.gateway.known.told_changes import FIRST_IDS
-from mulleinreach.gateway.tests.desk import answer_whole
-from mulleinreach.gateway.tests.logged import fields_of, keep_events
+from mulleinreach.gateway.known.told_changes import MAX_LOGGED_IDS
+from mulleinreach.gateway.tests.desk import echo_path
+from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.standins.gateway.store import UPSTREAMS
@@ -18,19 +18,19 @@
 @pytest.mark.parametrize("is_coordinator", [True, False])
 def test_changes_are_told_by_the_node_that_reads_and_by_those_it_tells(is_coordinator):
     async def test(world):
-        plain = await world.add_plain("desk-0", answer_whole)
+        plain = await world.add_plain("desk-0", echo_path)
         await asyncio.sleep(2)
         names = [n for n in world.nodes if (n == world.coordinator()) == is_coordinator]
-        kept = keep_events(world.nodes[names[0]])
+        events = record_events(world.nodes[names[0]])
         leaving = replace(plain.upstream, state=UpstreamState.DRAINING)
         world.store.put(UPSTREAMS, leaving.id, leaving)
         await asyncio.sleep(1)
-        (line,) = fields_of(kept, "upstreams_changed")
+        (line,) = event_fields(events, "upstreams_changed")
         assert (line["new"], line["changed"], line["removed"]) == (0, 1, 0)
         assert line["first_changed"] == leaving.id
         world.store.put(UPSTREAMS, leaving.id, None)
         await asyncio.sleep(1)
-        line = fields_of(kept, "upstreams_changed")[-1]
+        line = event_fields(events, "upstreams_changed")[-1]
         assert (line["new"], line["changed"], line["removed"]) == (0, 0, 1)
         assert line["first_removed"] == leaving.id
 
@@ -40,13 +40,13 @@
 def test_many_new_upstreams_are_counted_and_only_the_first_are_named():
     async def test(world):
         await asyncio.sleep(2)
-        kept = keep_events(world.nodes[world.coordinator()])
-        hosts = 2 * FIRST_IDS
+        events = record_events(world.nodes[world.coordinator()])
+        hosts = 2 * MAX_LOGGED_IDS
         for number in range(hosts):
             await world.add_host(f"extra-{number}", "domain-extra")
         await asyncio.sleep(0.3)
-        lines = fields_of(kept, "upstreams_changed")
+        lines = event_fields(events, "upstreams_changed")
         assert sum(line["new"] for line in lines) == hosts
-        assert all(str(line["first_new"]).count(",") < FIRST_IDS for line in lines)
+        assert all(str(line["first_new"]).count(",") < MAX_LOGGED_IDS for line in lines)
 
     run_world(test, domains=0)
--- a/mulleinreach/gateway/known/told_changes.py
+++ b/mulleinreach/gateway/known/told_changes.py
@@ -5,18 +5,18 @@
 from mulleinreach.common import EventLog
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.revision import format_revision
-from mulleinreach.gateway.upstream import Upstream, name_of
+from mulleinreach.gateway.upstream import Upstream, upstream_name
 
 # A line stays readable when a whole hall comes or goes.
-FIRST_IDS = 5
+MAX_LOGGED_IDS = 5
 
 
-def tell_change(log: EventLog, directory: UpstreamDirectory, change: ListChange) -> None:
+def log_list_change(log: EventLog, directory: UpstreamDirectory, change: ListChange) -> None:
     """Log a change that the list is about to take; nothing if it changes no upstream."""
     known = {upstream.id: directory.get(upstream.id) for upstream in change.upstreams}
     new = [upstream_id for upstream_id, before in known.items() if before is None]
     changed = [u.id for u in change.upstreams if known[u.id] not in (None, u)]
-    removed = [gone for gone in change.removed if directory.running(gone) is not None]
+    removed = [name for name in change.removed if directory.running(name) is not None]
     started_again = [u.id for u in change.upstreams if directory.is_replaced(u.id)]
     if not (new or changed or removed):
         return
@@ -26,32 +26,32 @@
         new=len(new),
         changed=len(changed),
         removed=len(removed),
-        started_again=first_ids(started_again),
-        first_new=first_ids(new),
-        first_changed=first_ids(changed),
-        first_removed=first_ids(removed),
+        started_again=format_ids(started_again),
+        first_new=format_ids(new),
+        first_changed=format_ids(changed),
+        first_removed=format_ids(removed),
     )
 
 
-def tell_whole_list(
+def log_full_list(
     log: EventLog, directory: UpstreamDirectory, revision: int, upstreams: list[Upstream]
 ) -> None:
     """Log what a whole list changes that is about to be taken."""
-    listed = {name_of(upstream.id) for upstream in upstreams}
-    removed = [name for name in map(name_of, directory.ids()) if name not in listed]
-    tell_change(log, directory, ListChange(revision, upstreams, removed))
+    listed = {upstream_name(upstream.id) for upstream in upstreams}
+    removed = [name for name in map(upstream_name, directory.ids()) if name not in listed]
+    log_list_change(log, directory, ListChange(revision, upstreams, removed))
 
 
-def first_ids(ids: list[str]) -> str:
+def format_ids(ids: list[str]) -> str:
     """Return the first of some ids, as they stand in a line.
 
     Examples
     ========
 
-    >>> first_ids(["a", "b"])
+    >>> format_ids(["a", "b"])
     'a,b'
-    >>> first_ids(["a", "b", "c", "d", "e", "f"])
+    >>> format_ids(["a", "b", "c", "d", "e", "f"])
     'a,b,c,d,e...'
     """
-    rest = "..." if len(ids) > FIRST_IDS else ""
-    return ",".join(ids[:FIRST_IDS]) + rest
+    rest = "..." if len(ids) > MAX_LOGGED_IDS else ""
+    return ",".join(ids[:MAX_LOGGED_IDS]) + rest
--- a/mulleinreach/gateway/known/upstream_ends.py
+++ b/mulleinreach/gateway/known/upstream_ends.py
@@ -10,11 +10,11 @@
 
 # Where upstreams end together that a request doesn't explain, their hall may be failing: its ends
 # there within so many seconds count as one. The nodes' sightings of a moment are together by then.
-APART_S = 1.0
+SAME_FAILURE_WINDOW_S = 1.0
 # A culprit that comes once in some minutes is found by its second visit.
-MEMORY_S = 600.0
+OBSERVATION_RETENTION_S = 600.0
 # The loss of a hall of 950 upstreams with 17 requests each; older ends give way to newer ones.
-MOST_ENDS = 16_384
+MAX_TRACKED_ENDS = 16_384
 
 
 class RunOutcome(enum.IntEnum):
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class SeenRun:
+class ObservedRun:
     """What was seen of one run.
 
     Parameters
@@ -50,9 +50,9 @@
     outcome: RunOutcome
     at: float
 
-    def is_about(self, other: SeenRun) -> bool:
+    def is_simultaneous_with(self, other: ObservedRun) -> bool:
         """Whether both are of one moment."""
-        return abs(self.at - other.at) < APART_S
+        return abs(self.at - other.at) < SAME_FAILURE_WINDOW_S
 
 
 class UpstreamEnds:
@@ -66,52 +66,52 @@
 
     def __init__(self, clock: Clock):
         self._clock = clock
-        self._in_order: deque[SeenRun] = deque()
-        self._at_upstream: dict[str, dict[int, SeenRun]] = defaultdict(dict)
+        self._in_order: deque[ObservedRun] = deque()
+        self._by_upstream: dict[str, dict[int, ObservedRun]] = defaultdict(dict)
         # By hall and second, an end of each upstream.
-        self._in_hall: dict[tuple[str, int], dict[str, SeenRun]] = defaultdict(dict)
+        self._by_hall_second: dict[tuple[str, int], dict[str, ObservedRun]] = defaultdict(dict)
 
-    def add(self, end: SeenRun) -> None:
+    def add(self, end: ObservedRun) -> None:
         """Take an end, and forget those that are too old or too many."""
         self._in_order.append(end)
-        self._at_upstream[end.upstream_id][end.content] = end
-        self._in_hall[_second(end)][end.upstream_id] = end
-        oldest = self._clock.now() - MEMORY_S
-        while self._in_order and self._is_over(oldest):
-            self._forget(self._in_order.popleft())
+        self._by_upstream[end.upstream_id][end.content] = end
+        self._by_hall_second[_hall_second(end)][end.upstream_id] = end
+        oldest = self._clock.now() - OBSERVATION_RETENTION_S
+        while self._in_order and self._must_evict(oldest):
+            self._evict(self._in_order.popleft())
 
-    def _is_over(self, oldest: float) -> bool:
+    def _must_evict(self, oldest: float) -> bool:
         """Whether the end that was taken first is too old, or one too many."""
-        return len(self._in_order) > MOST_ENDS or self._in_order[0].at < oldest
+        return len(self._in_order) > MAX_TRACKED_ENDS or self._in_order[0].at < oldest
 
-    def _forget(self, end: SeenRun) -> None:
-        _drop(self._at_upstream, end.upstream_id, end.content, end)
-        _drop(self._in_hall, _second(end), end.upstream_id, end)
+    def _evict(self, end: ObservedRun) -> None:
+        _drop(self._by_upstream, end.upstream_id, end.content, end)
+        _drop(self._by_hall_second, _hall_second(end), end.upstream_id, end)
 
-    def count_beginning(self, end: SeenRun, most: int) -> int:
-        """Return how many requests had begun at an upstream when it ended, ``most`` at most."""
+    def count_begun(self, end: ObservedRun, limit: int) -> int:
+        """Return how many requests had begun at an upstream when it ended, ``limit`` at limit."""
         count = 0
-        for other in self._at_upstream.get(end.upstream_id, {}).values():
-            count += other.outcome is RunOutcome.ENDED_BEGUN and other.is_about(end)
-            if count >= most:
+        for other in self._by_upstream.get(end.upstream_id, {}).values():
+            count += other.outcome is RunOutcome.ENDED_BEGUN and other.is_simultaneous_with(end)
+            if count >= limit:
                 break
         return count
 
-    def is_hall_failing(self, end: SeenRun, explained: set[str]) -> bool:
+    def is_hall_failing(self, end: ObservedRun, explained: set[str]) -> bool:
         """Whether upstreams that aren't explained ended in the same hall at about that time."""
-        hall, second = _second(end)
+        hall, second = _hall_second(end)
         return any(
-            upstream_id not in explained and other.is_about(end)
+            upstream_id not in explained and other.is_simultaneous_with(end)
             for near in (second - 1, second, second + 1)
-            for upstream_id, other in self._in_hall.get((hall, near), {}).items()
+            for upstream_id, other in self._by_hall_second.get((hall, near), {}).items()
         )
 
 
-def _second(end: SeenRun) -> tuple[str, int]:
-    return end.hall, int(end.at // APART_S)
+def _hall_second(end: ObservedRun) -> tuple[str, int]:
+    return end.hall, int(end.at // SAME_FAILURE_WINDOW_S)
 
 
-def _drop(ends: dict, place: object, key: object, end: SeenRun) -> None:
+def _drop(ends: dict, place: object, key: object, end: ObservedRun) -> None:
     """Take an end out of one of the ways to find it, unless a later one stands there."""
     there = ends.get(place, {})
     if there.get(key) is end:
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -18,22 +18,22 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.reading import (
-    CHECK_S,
-    LONG_WAIT_S,
-    TRIAL_WAIT_S,
-    ReadingTurn,
+    CHECK_INTERVAL_S,
+    PROBE_WAIT_S,
+    READER_WAIT_S,
+    DirectReadSchedule,
     SourceState,
     wait_for_coordinator,
 )
-from mulleinreach.gateway.known.told_changes import tell_change, tell_whole_list
+from mulleinreach.gateway.known.told_changes import log_full_list, log_list_change
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.ports import HistoryLost, Unavailable, UpstreamSource, UpstreamsRead
 from mulleinreach.gateway.revision import era_of, format_revision
-from mulleinreach.gateway.upstream import Upstream, name_of
+from mulleinreach.gateway.upstream import Upstream, upstream_name
 
 # A change of the list ends the wait for it, so that one that is so much older than a call
 # which was answered would have been told. The store's answers take 4 ms.
-CHANGE_TOLD_S = 0.1
+CHANGE_DELIVERY_S = 0.1
 # Changes that come together are read together. While a group is being formed or repaired,
 # each of its steps waits for a host's row; at other times the bound on leaving upstreams
 # (2 s and more) leaves room. With 0.04 s throughout, half of all calls of a day with 9 lost
@@ -44,13 +44,13 @@
 # that live are back about two seconds after its return; what is still missing then
 # is gone.
 OUTAGE_S = 1.5
-REINSTATED_S = 2.2
+RELISTING_GRACE_S = 2.2
 # By then an upstream that has gone, and that a restored store lists again, has missed three
 # heartbeats and is off the list; one heartbeat is for the way.
-DOUBTED_HEARTBEATS = 4
+UNTRUSTED_HEARTBEATS = 4
 # How long a coordinator's word holds that it keeps removed upstreams: until its next reports
 # (0.2 s each) have come, one of them late.
-TOLD_TO_KEEP_S = 0.5
+RETENTION_NOTICE_TTL_S = 0.5
 NEVER = float("-inf")
 
 
@@ -60,10 +60,10 @@
     Parameters
     ==========
 
-    reads_always : whether this node reads for the others.
+    is_reader : whether this node reads for the others.
     on_change : called after each answer that changed the list.
     is_urgent : whether somebody waits for a change.
-    turn : when a node reads for itself.
+    schedule : when a node reads for itself.
     heartbeat_s : how often upstreams write their rows.
     """
 
@@ -73,77 +73,79 @@
         directory: UpstreamDirectory,
         clock: Clock,
         log: EventLog,
-        reads_always: Callable[[], bool],
+        is_reader: Callable[[], bool],
         on_change: Callable[[], None],
         is_urgent: Callable[[], bool],
-        turn: ReadingTurn,
+        schedule: DirectReadSchedule,
         heartbeat_s: float,
     ):
         self._source = source
         self._directory = directory
         self._clock = clock
         self._log = log
-        self._state = SourceState("upstream_list", log, reads_always)
-        self._reads_always = reads_always
+        self._state = SourceState("upstream_list", log, is_reader)
+        self._is_reader = is_reader
         self._on_change = on_change
         self._is_urgent = is_urgent
-        self._turn = turn
+        self._schedule = schedule
         self._unusable: dict[str, str] = {}
         self._waiting_since: float | None = None
         self._must_read_all = True
         self._keeps_removed_until = NEVER
         self._failed_at = NEVER
-        self._doubt_s = DOUBTED_HEARTBEATS * heartbeat_s
-        self._doubted_until = NEVER
+        self._untrusted_s = UNTRUSTED_HEARTBEATS * heartbeat_s
+        self._untrusted_until = NEVER
         # Whether this node has read a list that it doubts, and has to read it again.
-        self._has_doubted = False
+        self._was_untrusted = False
         self.was_read = asyncio.Event()
-        self.heard_at = NEVER
+        self.current_as_of = NEVER
 
     def list_age_s(self) -> float:
         """Return the age of what the list shows."""
-        return self._clock.now() - self.heard_at
+        return self._clock.now() - self.current_as_of
 
-    def take_whole(self, whole: ListChange, heard_at: float) -> None:
+    def take_coordinator_list(self, whole: ListChange, current_as_of: float) -> None:
         """Take the coordinator's whole list, unless this node has one of its own."""
         if self._directory.revision is not None:
             return
-        tell_whole_list(self._log, self._directory, whole.revision, whole.upstreams)
+        log_full_list(self._log, self._directory, whole.revision, whole.upstreams)
         self._directory.replace_all(whole.revision, whole.upstreams, self._clock.now())
         self._must_read_all = False
         self.was_read.set()
-        self.heard_at = max(self.heard_at, heard_at)
+        self.current_as_of = max(self.current_as_of, current_as_of)
         self._on_change()
 
-    def take_passed(self, changes: list[ListChange], revision: int, heard_at: float) -> None:
+    def merge_coordinator_changes(
+        self, changes: list[ListChange], revision: int, current_as_of: float
+    ) -> None:
         """Take the coordinator's changes of the list, and its evidence of their age."""
-        own = self._directory.revision
-        if own is None:
+        known_revision = self._directory.revision
+        if known_revision is None:
             return
-        news = [change for change in changes if change.revision > own]
-        self._look_for_outage()
-        self._look_for_restore(revision)
+        news = [change for change in changes if change.revision > known_revision]
+        self._detect_outage()
+        self._detect_restore(revision)
         for change in news:
-            tell_change(self._log, self._directory, change)
+            log_list_change(self._log, self._directory, change)
             self._directory.apply(change, self._clock.now(), self.keeps_removed())
         if revision > self._directory.revision:
             self._directory.revision = revision
-        self.heard_at = max(self.heard_at, heard_at)
+        self.current_as_of = max(self.current_as_of, current_as_of)
         if news:
             self._on_change()
 
     async def follow(self) -> None:
         """Read for ever, as far as changes aren't passed on."""
-        await wait_for_coordinator(self.was_read, self._turn, self._reads_always)
+        await wait_for_coordinator(self.was_read, self._schedule, self._is_reader)
         while True:
-            self._drop_kept()
+            self._drop_retained()
             if self._must_read():
                 if await self.read_once():
-                    await self._batch()
+                    await self._wait_for_batch()
             else:
-                await asyncio.sleep(CHECK_S)
+                await asyncio.sleep(CHECK_INTERVAL_S)
 
-    async def _batch(self) -> None:
+    async def _wait_for_batch(self) -> None:
         """Let changes come together, as long as nobody waits for one."""
         until = self._clock.now() + BATCH_S
         await asyncio.sleep(URGENT_BATCH_S)
@@ -151,85 +153,87 @@
             await asyncio.sleep(URGENT_BATCH_S)
 
     def _must_read(self) -> bool:
-        if self._reads_always() or self._is_doubt_over():
+        if self._is_reader() or self._must_reread():
             return True
-        return self._turn.is_due(self.list_age_s())
+        return self._schedule.is_due(self.list_age_s())
 
-    def _is_doubt_over(self) -> bool:
+    def _must_reread(self) -> bool:
         """Whether a list that was doubted has to be read once more."""
-        return self._has_doubted and self._clock.now() >= self._doubted_until
+        return self._was_untrusted and self._clock.now() >= self._untrusted_until
 
-    def confirm(self, asked_at: float) -> None:
-        """Take in that the store answered another call that was sent at ``asked_at``.
+    def confirm(self, requested_at: float) -> None:
+        """Take in that the store record_answer another call that was sent at ``requested_at``.
 
         A wait that was under way then, and still is, would have told of a change.
         """
-        if self._waiting_since is not None and self._waiting_since < asked_at:
-            self.heard_at = max(self.heard_at, asked_at - CHANGE_TOLD_S)
+        if self._waiting_since is not None and self._waiting_since < requested_at:
+            self.current_as_of = max(self.current_as_of, requested_at - CHANGE_DELIVERY_S)
 
     def note_store_failed(self) -> None:
         """Note that the store has just failed to answer another call."""
         self._failed_at = self._clock.now()
 
-    def _look_for_outage(self) -> None:
+    def _detect_outage(self) -> None:
         """Keep removed upstreams for a while if this is the first news after an outage.
 
         News that is merely late shows no outage: the store must have failed us since, or
         while the coordinator's last wait was still under way.
         """
-        has_failed = self._failed_at > self.heard_at - LONG_WAIT_S > NEVER
+        has_failed = self._failed_at > self.current_as_of - READER_WAIT_S > NEVER
         if has_failed and self.list_age_s() > OUTAGE_S:
-            self._keeps_removed_until = self._clock.now() + REINSTATED_S
+            self._keeps_removed_until = self._clock.now() + RELISTING_GRACE_S
 
     def _wait_s(self) -> float:
         """Return how long to wait for a change: until the list has to be looked at anyway."""
         now, wait_s = self._clock.now(), self._state.wait_s()
         looks_at = [self._keeps_removed_until]
-        if self._has_doubted:
-            looks_at.append(self._doubted_until)
-        return min([wait_s, *(max(at - now, TRIAL_WAIT_S) for at in looks_at if at > now)])
+        if self._was_untrusted:
+            looks_at.append(self._untrusted_until)
+        return min([wait_s, *(max(at - now, PROBE_WAIT_S) for at in looks_at if at > now)])
 
-    def _look_for_restore(self, revision: int) -> None:
+    def _detect_restore(self, revision: int) -> None:
         """Doubt the list for a while if the store was restored since this node's revision."""
-        own = self._directory.revision
-        if era_of(revision) <= era_of(own):
+        known_revision = self._directory.revision
+        if era_of(revision) <= era_of(known_revision):
             return
         now = self._clock.now()
-        self._doubted_until = now + self._doubt_s
-        self._keeps_removed_until = max(self._keeps_removed_until, now + REINSTATED_S)
+        self._untrusted_until = now + self._untrusted_s
+        self._keeps_removed_until = max(self._keeps_removed_until, now + RELISTING_GRACE_S)
         self._log.event(
-            "list_restored", revision=format_revision(revision), known=format_revision(own)
+            "list_restored",
+            revision=format_revision(revision),
+            known=format_revision(known_revision),
         )
 
     def _reconcile(self, upstreams: list[Upstream]) -> list[Upstream]:
         """Return what to take of a whole list: all of it, unless it is in doubt."""
-        self._has_doubted = self._clock.now() < self._doubted_until
-        return self._directory.reconcile(upstreams) if self._has_doubted else upstreams
+        self._was_untrusted = self._clock.now() < self._untrusted_until
+        return self._directory.reconcile(upstreams) if self._was_untrusted else upstreams
 
-    def take_outage(self, keeps_removed: bool) -> None:
+    def note_coordinator_retention(self, keeps_removed: bool) -> None:
         """Take the coordinator's word that it keeps upstreams that are off the list."""
         if keeps_removed:
-            until = self._clock.now() + TOLD_TO_KEEP_S
+            until = self._clock.now() + RETENTION_NOTICE_TTL_S
             self._keeps_removed_until = max(self._keeps_removed_until, until)
 
     def keeps_removed(self) -> bool:
         """Whether the store was away so lately that upstreams off the list may be back."""
         return self._clock.now() < self._keeps_removed_until
 
-    def _drop_kept(self) -> None:
+    def _drop_retained(self) -> None:
         if self.keeps_removed() or self.list_age_s() > OUTAGE_S:
             return
-        dropped = self._directory.drop_kept()
+        dropped = self._directory.drop_retained()
         if dropped:
             self._log.event("lapsed_upstreams_dropped", count=dropped)
             self._on_change()
 
     async def read_once(self) -> bool:
         """Read, or wait for a change, and take in the answer; returns whether it told any."""
-        if self._must_read_all or self._is_doubt_over():
-            return await self.read_anew()
-        asked_at, wait_s = self._clock.now(), self._wait_s()
-        self._waiting_since = asked_at
+        if self._must_read_all or self._must_reread():
+            return await self.read_now()
+        requested_at, wait_s = self._clock.now(), self._wait_s()
+        self._waiting_since = requested_at
         result = await self._source.wait(self._directory.revision, wait_s)
         self._waiting_since = None
         if isinstance(result, Unavailable):
@@ -238,24 +242,24 @@
             self._must_read_all = True
         else:
             has_changes = bool(result.upstreams or result.removed)
-            if not has_changes and self._clock.now() - asked_at >= wait_s:
+            if not has_changes and self._clock.now() - requested_at >= wait_s:
                 # The store would have answered sooner if anything had changed meanwhile.
-                asked_at += wait_s
-            self._take(result, False, asked_at)
+                requested_at += wait_s
+            self._apply_answer(result, False, requested_at)
             return has_changes
         return False
 
-    async def read_anew(self) -> bool:
+    async def read_now(self) -> bool:
         """Read the whole list now, beside a wait that may be under way.
 
         Returns whether the store has answered.
         """
-        asked_at = self._clock.now()
+        requested_at = self._clock.now()
         result = await self._source.read()
         if isinstance(result, Unavailable):
             self._note_failure(result)
             return False
-        self._take(result, is_full=True, asked_at=asked_at)
+        self._apply_answer(result, is_full=True, requested_at=requested_at)
         return True
 
     @property
@@ -263,48 +267,48 @@
         """How many rows name no upstream, as this node read them itself."""
         return len(self._unusable)
 
-    def _tell_unusable(self, result: UpstreamsRead, is_full: bool) -> None:
+    def _log_unusable_rows(self, result: UpstreamsRead, is_full: bool) -> None:
         """Log rows that name no upstream, each when it comes or when its reason changes."""
         read = {row.name: row.why for row in result.unusable}
         for name, why in read.items():
             if self._unusable.get(name) != why:
                 self._log.event("row_unusable", row=name, why=why)
         known = {} if is_full else self._unusable
-        usable = {name_of(upstream.id) for upstream in result.upstreams} | set(result.removed)
+        usable = {upstream_name(upstream.id) for upstream in result.upstreams} | set(result.removed)
         self._unusable = {n: why for n, why in known.items() if n not in usable} | read
 
     def _note_failure(self, failure: Unavailable) -> None:
         self._failed_at = self._clock.now()
-        self._state.lost(failure.reason)
+        self._state.record_failure(failure.reason)
 
-    def _take(self, result: UpstreamsRead, is_full: bool, asked_at: float) -> None:
-        self._state.answered()
-        own = self._directory.revision
-        if own is not None and result.revision < own:
+    def _apply_answer(self, result: UpstreamsRead, is_full: bool, requested_at: float) -> None:
+        self._state.record_answer()
+        known_revision = self._directory.revision
+        if known_revision is not None and result.revision < known_revision:
             # A wait that began before a newer read; the next one continues from that.
             self._log.event(
                 "answer_put_aside",
                 dependency="upstream_list",
                 why="it is older",
                 revision=format_revision(result.revision),
-                known=format_revision(own),
+                known=format_revision(known_revision),
             )
             return
         self._must_read_all = False
         self.was_read.set()
-        self._look_for_outage()
-        if own is not None:
-            self._look_for_restore(result.revision)
-        self._tell_unusable(result, is_full)
-        self.heard_at = max(self.heard_at, asked_at)
+        self._detect_outage()
+        if known_revision is not None:
+            self._detect_restore(result.revision)
+        self._log_unusable_rows(result, is_full)
+        self.current_as_of = max(self.current_as_of, requested_at)
         now, keeps_removed = self._clock.now(), self.keeps_removed()
         if is_full:
             upstreams = self._reconcile(result.upstreams)
-            tell_whole_list(self._log, self._directory, result.revision, upstreams)
+            log_full_list(self._log, self._directory, result.revision, upstreams)
             self._directory.replace_all(result.revision, upstreams, now, keeps_removed)
         else:
             change = ListChange(result.revision, result.upstreams, result.removed)
-            tell_change(self._log, self._directory, change)
+            log_list_change(self._log, self._directory, change)
             self._directory.apply(change, now, keeps_removed)
         if is_full or result.upstreams or result.removed:
             self._on_change()
--- a/mulleinreach/gateway/known/upstreams.py
+++ b/mulleinreach/gateway/known/upstreams.py
@@ -10,9 +10,9 @@
     MemberState,
     Upstream,
     UpstreamState,
-    model_in_name,
-    name_of,
-    start_of,
+    model_of_group,
+    start_time_ms,
+    upstream_name,
 )
 
 
@@ -36,7 +36,7 @@
             if member.models:
                 return member.models[0]
         # Hosts tell the model only while they serve.
-        return model_in_name(self.name)
+        return model_of_group(self.name)
 
     def is_whole(self, size: int) -> bool:
         """Whether all ``size`` members are known."""
@@ -72,7 +72,7 @@
 NEVER = float("-inf")
 # More upstreams than are replaced in an hour where there are 2,840 hosts; a leaving one ends within
 # seconds, and a copy of the store that names it once more is some seconds old.
-MOST_REMEMBERED_IDS = 4096
+MAX_REMEMBERED_IDS = 4096
 
 
 class UpstreamDirectory:
@@ -101,11 +101,11 @@
     ========
 
     >>> directory = UpstreamDirectory()
-    >>> directory.replace_all(5, [], heard_at=1.0)
+    >>> directory.replace_all(5, [], observed_at=1.0)
     >>> from mulleinreach.common import Address
     >>> host = Upstream("u", "s", Address("10.0.0.1", 80), "hall")
-    >>> directory.apply(ListChange(7, [host], []), heard_at=2.0)
-    >>> directory.put_report(replace(host, pace=3.0), as_of=1.9)
+    >>> directory.apply(ListChange(7, [host], []), observed_at=2.0)
+    >>> directory.apply_report(replace(host, pace=3.0), as_of=1.9)
     False
     >>> [change.revision for change in directory.changes_since(5)]
     [7]
@@ -122,7 +122,7 @@
         self._running: dict[str, str] = {}
         self._changed_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
-        self._kept: set[str] = set()
+        self._retained: set[str] = set()
         # Ids in the order in which their upstreams said that they leave, and went off the list.
         self._leaving: dict[str, None] = {}
         self._departed: dict[str, None] = {}
@@ -134,49 +134,49 @@
         self,
         revision: int,
         upstreams: list[Upstream],
-        heard_at: float,
+        observed_at: float,
         keeps_removed: bool = False,
     ) -> None:
         """Take a complete list."""
-        upstreams = [self._as_it_says(u) for u in upstreams]
-        listed = {name_of(u.id) for u in upstreams}
+        upstreams = [self._with_leaving_state(u) for u in upstreams]
+        listed = {upstream_name(u.id) for u in upstreams}
         changed = [u for u in upstreams if self._by_id.get(u.id) != u]
         removed = [name for name in self._running if name not in listed]
         change = ListChange(revision, changed, removed)
         if self.revision is None:
             self._changes_from = revision
         else:
-            self._remember(change)
-        self._carry_out(change, heard_at, keeps_removed)
+            self._record_change(change)
+        self._apply_change(change, observed_at, keeps_removed)
 
-    def apply(self, change: ListChange, heard_at: float, keeps_removed: bool = False) -> None:
+    def apply(self, change: ListChange, observed_at: float, keeps_removed: bool = False) -> None:
         """Take changes that follow on the list's revision.
 
         Parameters
         ==========
 
-        heard_at : when the answer that tells the change came in.
+        observed_at : when the answer that tells the change came in.
         keeps_removed : upstreams that the change removes stay until
-            :meth:`drop_kept`, unless they are listed again.
+            :meth:`drop_retained`, unless they are listed again.
         """
-        self._remember(change)
-        self._carry_out(change, heard_at, keeps_removed)
+        self._record_change(change)
+        self._apply_change(change, observed_at, keeps_removed)
 
-    def _carry_out(self, change: ListChange, heard_at: float, keeps_removed: bool) -> None:
-        for upstream in map(self._as_it_says, change.upstreams):
+    def _apply_change(self, change: ListChange, observed_at: float, keeps_removed: bool) -> None:
+        for upstream in map(self._with_leaving_state, change.upstreams):
             self._replace_start(upstream.id)
             self._by_id[upstream.id] = upstream
-            self._changed_at[upstream.id] = heard_at
-            self._note_cold(upstream, heard_at)
-            self._kept.discard(upstream.id)
+            self._changed_at[upstream.id] = observed_at
+            self._note_cold(upstream, observed_at)
+            self._retained.discard(upstream.id)
             self._departed.pop(upstream.id, None)
         removed = [self._running[name] for name in change.removed if name in self._running]
         if keeps_removed:
-            self._kept.update(removed)
+            self._retained.update(removed)
         else:
             for upstream_id in removed:
                 self._drop(upstream_id)
-                _remember_id(self._departed, upstream_id)
+                _add_bounded(self._departed, upstream_id)
         self.revision = change.revision
 
     def reconcile(self, upstreams: list[Upstream]) -> list[Upstream]:
@@ -187,61 +187,61 @@
         of an upstream stands, and one that had gone off the list stays off it.
         """
         known = {name: self._by_id[running] for name, running in self._running.items()}
-        pairs = [(upstream, known.get(name_of(upstream.id))) for upstream in upstreams]
+        pairs = [(upstream, known.get(upstream_name(upstream.id))) for upstream in upstreams]
         return [
-            listed if before is None else _later_of(before, listed)
+            listed if before is None else _reconcile_row(before, listed)
             for listed, before in pairs
             if before is not None or listed.id not in self._departed
         ]
 
-    def note_leaving(self, upstream_id: str) -> bool:
+    def mark_leaving(self, upstream_id: str) -> bool:
         """Note that an upstream says itself that it leaves; returns whether that is news."""
         if upstream_id in self._leaving:
             return False
-        _remember_id(self._leaving, upstream_id)
+        _add_bounded(self._leaving, upstream_id)
         if upstream_id in self._by_id:
-            self._by_id[upstream_id] = self._as_it_says(self._by_id[upstream_id])
+            self._by_id[upstream_id] = self._with_leaving_state(self._by_id[upstream_id])
         return True
 
-    def _as_it_says(self, upstream: Upstream) -> Upstream:
+    def _with_leaving_state(self, upstream: Upstream) -> Upstream:
         """Return an upstream as its row tells it, but for its word that it leaves."""
         if upstream.state is UpstreamState.DRAINING:
-            _remember_id(self._leaving, upstream.id)
+            _add_bounded(self._leaving, upstream.id)
         if upstream.id not in self._leaving:
             return upstream
         return replace(upstream, state=UpstreamState.DRAINING)
 
     def _replace_start(self, upstream_id: str) -> None:
         """Drop an earlier start of an upstream that is listed again."""
-        name = name_of(upstream_id)
+        name = upstream_name(upstream_id)
         before = self._running.get(name)
         if before is not None and before != upstream_id:
             self._drop(before)
             self._on_replaced(before)
         self._running[name] = upstream_id
 
-    def _note_cold(self, upstream: Upstream, heard_at: float) -> None:
+    def _note_cold(self, upstream: Upstream, observed_at: float) -> None:
         if upstream.cold_s > 0:
-            self._cold_until[upstream.id] = heard_at + upstream.cold_s
+            self._cold_until[upstream.id] = observed_at + upstream.cold_s
         else:
             self._cold_until.pop(upstream.id, None)
 
-    def drop_kept(self) -> int:
+    def drop_retained(self) -> int:
         """Remove the upstreams that were kept and not listed again; returns how many."""
-        kept = list(self._kept)
+        kept = list(self._retained)
         for upstream_id in kept:
             self._drop(upstream_id)
-            _remember_id(self._departed, upstream_id)
+            _add_bounded(self._departed, upstream_id)
         return len(kept)
 
     def _drop(self, upstream_id: str) -> None:
         self._by_id.pop(upstream_id, None)
-        self._running.pop(name_of(upstream_id), None)
+        self._running.pop(upstream_name(upstream_id), None)
         self._changed_at.pop(upstream_id, None)
         self._cold_until.pop(upstream_id, None)
-        self._kept.discard(upstream_id)
+        self._retained.discard(upstream_id)
 
-    def _remember(self, change: ListChange) -> None:
+    def _record_change(self, change: ListChange) -> None:
         if change.upstreams or change.removed:
             self._changes.append(change)
         while len(self._changes) > self.MAX_CHANGES:
@@ -259,7 +259,7 @@
             return None
         return ListChange(self.revision, list(self._by_id.values()), [])
 
-    def put_report(self, report: Upstream, as_of: float) -> bool:
+    def apply_report(self, report: Upstream, as_of: float) -> bool:
         """Take what a listed host said of itself, unless something newer is known.
 
         Parameters
@@ -291,7 +291,7 @@
 
     def is_replaced(self, upstream_id: str) -> bool:
         """Whether the list names another start of an upstream than this one."""
-        return self._running.get(name_of(upstream_id), upstream_id) != upstream_id
+        return self._running.get(upstream_name(upstream_id), upstream_id) != upstream_id
 
     def running(self, name: str) -> str | None:
         """Return the id of the start that the list names for an upstream."""
@@ -318,16 +318,16 @@
         return len(self._by_id)
 
 
-def _remember_id(ids: dict[str, None], upstream_id: str) -> None:
+def _add_bounded(ids: dict[str, None], upstream_id: str) -> None:
     """Add an id to those that are remembered in their order, and drop the oldest beyond a bound."""
     ids[upstream_id] = None
-    if len(ids) > MOST_REMEMBERED_IDS:
+    if len(ids) > MAX_REMEMBERED_IDS:
         del ids[next(iter(ids))]
 
 
-def _later_of(known: Upstream, listed: Upstream) -> Upstream:
+def _reconcile_row(known: Upstream, listed: Upstream) -> Upstream:
     """Return what holds of an upstream that is known, and listed by a store that may lag."""
-    if (start_of(listed.id) or 0) > (start_of(known.id) or 0):
+    if (start_time_ms(listed.id) or 0) > (start_time_ms(known.id) or 0):
         return listed
     if listed.id == known.id and listed.state is UpstreamState.DRAINING:
         return replace(known, state=UpstreamState.DRAINING)
--- a/mulleinreach/gateway/known/waking.py
+++ b/mulleinreach/gateway/known/waking.py
@@ -9,12 +9,12 @@
 
 # How often it is looked. A loop that slept through a suspension notices by this timer, so it also
 # bounds for how long a woken node may go on in ignorance.
-CHECK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # Shorter ones change nothing that a busy moment wouldn't: reports come each 0.1 s.
-TOLD_FROM_S = 0.2
+MIN_LOGGED_SUSPENSION_S = 0.2
 
 
-class WakeWatch:
+class SuspensionMonitor:
     """Compares how long the machine has been suspended in all with what it was before.
 
     Parameters
@@ -33,17 +33,17 @@
         self._suspended_s = suspended_s
         self._describe = describe
         self._log = log
-        self._before_s = suspended_s()
+        self._previous_s = suspended_s()
 
     async def run(self) -> None:
         """Look for ever."""
         while True:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.look()
 
     def look(self) -> None:
         """Log a suspension since the last look."""
         now_s = self._suspended_s()
-        slept_s, self._before_s = now_s - self._before_s, now_s
-        if slept_s >= TOLD_FROM_S:
+        slept_s, self._previous_s = now_s - self._previous_s, now_s
+        if slept_s >= MIN_LOGGED_SUSPENSION_S:
             self._log.event("node_woke", suspended_s=slept_s, **self._describe())
--- a/mulleinreach/gateway/metrics.py
+++ b/mulleinreach/gateway/metrics.py
@@ -17,18 +17,18 @@
         self._answers = self._counter("answers", "Answers to callers", ["kind", "status"])
         self._denied = self._counter("denied", "Requests that aren't allowed", ["status"])
         self._sends = self._counter("sends", "Requests sent to upstreams", ["kind"])
-        self._failed = self._counter("failed_sends", "Sends without an answer", ["outcome"])
+        self._failed_sends = self._counter("failed_sends", "Sends without an answer", ["outcome"])
         self._withheld = self._counter("cold_withheld", "Cold upstreams passed over", [])
         self._evacuated_sends = self._counter(
             "evacuated_sends", "Requests sent to halls that are to be empty", ["hall"]
         )
         self._orders = self._counter("orders", "Orders to hosts", ["order", "outcome"])
-        self._seconds = self._histogram("answer_seconds", "Time to the end of an answer")
+        self._answer_seconds = self._histogram("answer_seconds", "Time to the end of an answer")
         self._first_event = self._histogram("first_event_seconds", "Time to a stream's first event")
-        self._pause = self._histogram("longest_pause_seconds", "A stream's longest pause")
+        self._longest_pause = self._histogram("longest_pause_seconds", "A stream's longest pause")
         self._store_calls = self._counter("store_calls", "Calls to the store", ["call", "outcome"])
         self._events = self._counter("events", "Events of the log, by name", ["event"])
-        self._repair = Histogram(
+        self._repair_seconds = Histogram(
             "mulleinreach_gateway_repair_seconds",
             "Time from the end of a group that served to the opening of the one in its place",
             buckets=SECONDS_BUCKETS,
@@ -88,13 +88,13 @@
     def count_answer(self, kind: str, status: int, seconds: float, sends: int) -> None:
         """Count an answer and the sends that it took."""
         self._answers.labels(kind, status).inc()
-        self._seconds.labels(kind).observe(seconds)
+        self._answer_seconds.labels(kind).observe(seconds)
         self._sends.labels(kind).inc(sends)
 
     def observe_stream(self, kind: str, first_event_s: float, longest_pause_s: float) -> None:
         """Take in how soon a stream began, and its longest pause between events."""
         self._first_event.labels(kind).observe(first_event_s)
-        self._pause.labels(kind).observe(longest_pause_s)
+        self._longest_pause.labels(kind).observe(longest_pause_s)
 
     def count_event(self, name: str) -> None:
         """Count an event of the log."""
@@ -102,7 +102,7 @@
 
     def observe_repair(self, seconds: float) -> None:
         """Take in how long a group was missing."""
-        self._repair.observe(seconds)
+        self._repair_seconds.observe(seconds)
 
     def set_groups(self, states: Mapping[str, int]) -> None:
         """Set the number of groups in each state; a state that isn't named has none."""
@@ -116,7 +116,7 @@
 
     def count_failed_send(self, outcome: str) -> None:
         """Count a send that brought no answer."""
-        self._failed.labels(outcome).inc()
+        self._failed_sends.labels(outcome).inc()
 
     def count_withheld(self, count: int) -> None:
         """Count the cold upstreams that were passed over when one was chosen for a request."""
--- a/mulleinreach/gateway/model.py
+++ b/mulleinreach/gateway/model.py
@@ -96,9 +96,9 @@
     per_sequence_ms: float = 0.5
     read_tokens_per_s: float = 10_000.0
     stride: int = 1
-    form_s: float = 0.3
+    formation_s: float = 0.3
     loads_per_s: float = 1.0
-    loads_at_once: int = 1
+    max_concurrent_loads: int = 1
     report_lag_s: float = 0.2
 
     def model(self, name: str) -> EngineModel | None:
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class RequestLimits:
     """Bounds on what a caller may send."""
 
     header_bytes: int = 16_384
@@ -157,21 +157,21 @@
     version: int
     routes: tuple[Route, ...] = ()
     services: dict[str, Service] = field(default_factory=dict)
-    limits: Limits = field(default_factory=Limits)
+    limits: RequestLimits = field(default_factory=RequestLimits)
     organisations: tuple[Organisation, ...] | None = None
-    _by_host: dict[str, list[Route]] = field(
+    _routes_by_host: dict[str, list[Route]] = field(
         default_factory=dict, init=False, repr=False, compare=False
     )
-    _by_key: dict[str, Organisation] = field(
+    _organisations_by_key: dict[str, Organisation] = field(
         default_factory=dict, init=False, repr=False, compare=False
     )
 
     def __post_init__(self) -> None:
         for route in sorted(self.routes, key=lambda r: -len(r.path_prefix)):
-            self._by_host.setdefault(route.host, []).append(route)
+            self._routes_by_host.setdefault(route.host, []).append(route)
         for organisation in self.organisations or ():
             for key in organisation.api_keys:
-                self._by_key[key] = organisation
+                self._organisations_by_key[key] = organisation
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the route of ``host`` with the longest prefix that begins ``path``.
@@ -185,14 +185,14 @@
         >>> Configuration(1, (route,)).match("h.example", "/b/") is None
         True
         """
-        for route in self._by_host.get(host, ()):
+        for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
-    def organisation_of(self, key: str) -> Organisation | None:
+    def organisation_for_key(self, key: str) -> Organisation | None:
         """Return the organisation that holds an API key."""
-        return self._by_key.get(key)
+        return self._organisations_by_key.get(key)
 
     @property
     def needs_keys(self) -> bool:
@@ -201,7 +201,7 @@
 
 
 @dataclass(frozen=True)
-class RouteWait:
+class CallerTimeout:
     """What nearly all callers of a route wait for at least when they first ask, in seconds."""
 
     route: str
@@ -217,7 +217,7 @@
 
 
 @dataclass(frozen=True)
-class Inheritance:
+class HandoverState:
     """What a coordinator has learnt and nodes that start should know.
 
     Parameters
@@ -227,5 +227,5 @@
     held : the requests that end the upstreams which run them.
     """
 
-    first_waits: tuple[RouteWait, ...] = ()
+    first_waits: tuple[CallerTimeout, ...] = ()
     held: tuple[HeldContent, ...] = ()
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -16,32 +16,32 @@
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
 from mulleinreach.gateway.coordination.membership import Coordination
 from mulleinreach.gateway.coordination.totals import sum_loads
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.hosts import HostBook
-from mulleinreach.gateway.knowledge import SharedKnowledge
+from mulleinreach.gateway.fleet.hosts import HostRegistry
+from mulleinreach.gateway.knowledge import SharedState
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.known.content import format_digest
 from mulleinreach.gateway.known.counted import CountedEventLog, CountedLease, CountedSource
-from mulleinreach.gateway.known.crashes import CrashBook
+from mulleinreach.gateway.known.crashes import CrashTracker
 from mulleinreach.gateway.known.eligibility import Eligibility
 from mulleinreach.gateway.known.evacuations import Evacuations
 from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.limits import LimitBook
-from mulleinreach.gateway.known.load import LoadBook
-from mulleinreach.gateway.known.notices import NoticeBook
+from mulleinreach.gateway.known.limits import LimitTracker
+from mulleinreach.gateway.known.load import LoadTracker
+from mulleinreach.gateway.known.notices import NoticeTracker
 from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.known.routing import Router
 from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
-from mulleinreach.gateway.known.turns import reading_turn
+from mulleinreach.gateway.known.turns import direct_read_schedule
 from mulleinreach.gateway.known.upstream_following import UpstreamFollower
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
-from mulleinreach.gateway.known.waking import WakeWatch
+from mulleinreach.gateway.known.waking import SuspensionMonitor
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
-from mulleinreach.gateway.model import Limits
+from mulleinreach.gateway.model import RequestLimits
 from mulleinreach.gateway.ports import Ports
 from mulleinreach.gateway.request.active import ActiveExchanges
 from mulleinreach.gateway.request.admission import Admission
@@ -58,10 +58,10 @@
 CONNECT_TIMEOUT_S = 0.35
 # Callers' connections are closed earlier, after the idle time of the configuration.
 CALLERS_IDLE_TIMEOUT_S = 3600.0
-LIST_TURN_S = 0.03
-STOP_TAIL_S = 1.0
-STOP_QUIET_S = 2.9
-STOP_POLL_S = 0.05
+UPSTREAM_LIST_READ_DELAY_S = 0.03
+ABORT_MARGIN_S = 1.0
+BALANCER_DRAIN_S = 2.9
+STOP_POLL_INTERVAL_S = 0.05
 
 
 class GatewayNode:
@@ -76,7 +76,7 @@
     def __init__(
         self,
         identity: GatewayIdentity,
-        bounds: Bounds,
+        bounds: DeploymentBounds,
         ports: Ports,
         network: Network | None = None,
         clock: Clock | None = None,
@@ -104,19 +104,21 @@
 
     def _make_state(self) -> None:
         self.directory = UpstreamDirectory(self._on_lost)
-        self.loads = LoadBook(self.clock)
+        self.loads = LoadTracker(self.clock)
         self.suspects = SuspectList(self.clock)
         self.active = ActiveExchanges()
-        self.limits = LimitBook(self.directory, self.clock, self.log)
+        self.limits = LimitTracker(self.directory, self.clock, self.log)
         self.permits = SendPermits(self.limits, self.clock, self.rng)
-        self.notices = NoticeBook(self.directory, self.clock, self.log, self._on_upstreams)
+        self.notices = NoticeTracker(
+            self.directory, self.clock, self.log, self._on_upstreams_changed
+        )
         self.ports.orders.listen(self._on_notice)
-        self.crashes = CrashBook(self.clock, self.log, self.rng, self._on_held)
-        turn = reading_turn(
+        self.crashes = CrashTracker(self.clock, self.log, self.rng, self._on_content_held)
+        schedule = direct_read_schedule(
             self.bounds, self.identity.processor_cores, self.identity.is_first_start, self.rng
         )
         # The answer to the first question tells whether the second is worth asking.
-        list_turn = replace(turn, extra_s=turn.extra_s + LIST_TURN_S)
+        list_schedule = replace(schedule, extra_s=schedule.extra_s + UPSTREAM_LIST_READ_DELAY_S)
         evacuations = Evacuations(
             self.bounds.evacuation_s, self.identity.regions, self.clock, self.log
         )
@@ -136,18 +138,18 @@
             evacuations,
             self.clock,
             self.log,
-            self._reads_for_all,
-            turn,
+            self._reads_store_for_all,
+            schedule,
         )
         self.follower = UpstreamFollower(
             CountedSource(self.ports.upstreams, "upstreams", self.store_calls),
             self.directory,
             self.clock,
             self.log,
-            self._reads_for_all,
-            self._on_upstreams,
+            self._reads_store_for_all,
+            self._on_upstreams_changed,
             lambda: self.operator.is_waiting,
-            list_turn,
+            list_schedule,
             self.bounds.heartbeat_s,
         )
 
@@ -205,7 +207,7 @@
             self.log,
             self.identity.is_first_start,
         )
-        self.hosts = HostBook(self.directory, self.clock)
+        self.hosts = HostRegistry(self.directory, self.clock)
         self.operator = GroupOperator(
             self.ports.orders,
             self.lease,
@@ -218,12 +220,12 @@
         )
         self.controller = FleetController(
             self.identity.hall,
-            self.bounds.halls_at_once >= 1,
+            self.bounds.max_lost_halls >= 1,
             self.hosts,
             self.operator,
             self.in_force,
-            self._all_loads,
-            lambda: self.coordination.heard_nodes(),
+            self._total_loads,
+            lambda: self.coordination.recent_nodes(),
             lambda: self.lease.token == 1,
             self.follower.read_anew,
             self.clock,
@@ -238,7 +240,7 @@
             self.log,
             self.rng,
             self.controller.run,
-            SharedKnowledge(
+            SharedState(
                 self.in_force,
                 self.follower,
                 self.directory,
@@ -263,15 +265,15 @@
             CALLERS_IDLE_TIMEOUT_S,
             self._callers_socket,
         )
-        await self._serve(self._answer_ready, self.identity.readiness)
+        await self._serve(self._handle_readiness, self.identity.readiness)
         if self.identity.metrics is not None:
-            await self._serve(self._answer_metrics, self.identity.metrics)
+            await self._serve(self._handle_metrics, self.identity.metrics)
         self._tasks.spawn(self.relay.connections.watch(callers, self._idle_timeout_s))
         self._tasks.spawn(self.in_force.follow())
         self._tasks.spawn(self.follower.follow())
         self._tasks.spawn(self.coordination.run())
         self._tasks.spawn(self.store_calls.tell())
-        self._tasks.spawn(WakeWatch(suspended_s, self._describe_wake, self.log).run())
+        self._tasks.spawn(SuspensionMonitor(suspended_s, self._describe_wake, self.log).run())
         self.log.event("node_started", callers=self.identity.callers, hall=self.identity.hall)
 
     async def _serve(
@@ -287,7 +289,7 @@
 
     def _idle_timeout_s(self) -> float:
         configuration = self.in_force.configuration
-        limits = configuration.limits if configuration else Limits()
+        limits = configuration.limits if configuration else RequestLimits()
         return limits.idle_timeout_s
 
     # What the slices ask and tell.
@@ -298,10 +300,10 @@
         elif self.coordination.is_following:
             role = StoreRole.FOLLOWER
         else:
-            role = StoreRole.ALONE
+            role = StoreRole.NO_COORDINATOR
         return pause_s(role, self._node_count(), failures)
 
-    def _reads_for_all(self) -> bool:
+    def _reads_store_for_all(self) -> bool:
         return self.coordination.is_hub
 
     def _on_notice(self, upstream: Upstream, notice: Notice) -> None:
@@ -309,7 +311,7 @@
         if notice.limit_per_s is not None:
             self.limits.take(upstream.id, notice.limit_per_s)
 
-    def _on_upstreams(self) -> None:
+    def _on_upstreams_changed(self) -> None:
         self.controller.notify()
 
     def _report_lag_s(self, service: str) -> float:
@@ -320,14 +322,14 @@
     def _node_count(self) -> int:
         return self.coordination.node_count
 
-    def _all_loads(self):
+    def _total_loads(self):
         return sum_loads(self.coordination.node_reports())
 
     def _on_lost(self, upstream_id: str) -> None:
         count = self.active.withdraw(upstream_id)
         self.log.event("upstream_lost", upstream=upstream_id, in_flight=count)
 
-    def _on_held(self, content: int) -> None:
+    def _on_content_held(self, content: int) -> None:
         count = self.active.withdraw_content(content)
         self.log.event("held_withdrawn", content=format_digest(content), in_flight=count)
 
@@ -345,12 +347,12 @@
         """Whether new connections should come to this node."""
         return not self.is_stopping and self.in_force.configuration is not None
 
-    async def _answer_ready(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_readiness(self, request: web.BaseRequest) -> web.Response:
         if request.path != self.ports.dialect.ready_path:
             return web.Response(status=404)
         return web.Response(status=200 if self.is_ready() else 503)
 
-    async def _answer_metrics(self, request: web.BaseRequest) -> web.Response:
+    async def _handle_metrics(self, request: web.BaseRequest) -> web.Response:
         self.metrics.in_flight.set(self.relay.in_flight)
         self.metrics.set_groups(self.directory.group_states())
         self.metrics.holds_lease.set(self.lease.is_held())
@@ -376,17 +378,17 @@
         self.is_stopping = self.relay.is_stopping = True
         self.coordination.begin_stopping()
         self.log.event("node_stopping", in_flight=self.relay.in_flight)
-        give_up_at = started_at + self.bounds.stop_grace_s - STOP_TAIL_S
-        quiet_at = min(started_at + STOP_QUIET_S, give_up_at)
-        await asyncio.sleep(quiet_at - started_at)
+        abort_at = started_at + self.bounds.stop_grace_s - ABORT_MARGIN_S
+        drained_at = min(started_at + BALANCER_DRAIN_S, abort_at)
+        await asyncio.sleep(drained_at - started_at)
         # By now the balancer sends no new connections. A request that came later, over
         # a kept one, might not end in time, so connections are closed: at once where
         # they rest, else after the answer that is under way.
         for server, listener in self._servers:
             listener.close()
             self.relay.connections.close_all(server.connections)
-        while self.relay.in_flight and self.clock.now() < give_up_at:
-            await asyncio.sleep(STOP_POLL_S)
+        while self.relay.in_flight and self.clock.now() < abort_at:
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
         await self.kill()
         self.log.event("node_stopped", in_flight=self.relay.in_flight)
 
--- a/mulleinreach/gateway/ports.py
+++ b/mulleinreach/gateway/ports.py
@@ -15,7 +15,7 @@
 
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from mulleinreach.gateway.model import Configuration, Inheritance
+from mulleinreach.gateway.model import Configuration, HandoverState
 from mulleinreach.gateway.upstream import Notice, Upstream
 
 # Results of reading a source. Revisions, and the versions of rows, are those that
@@ -161,7 +161,7 @@
     token: int
     renewal: int
     secret: str = ""
-    inheritance: Inheritance = Inheritance()
+    inheritance: HandoverState = HandoverState()
     era: int = 0
 
 
@@ -331,7 +331,7 @@
     def is_signed(self, headers: CIMultiDictProxy[str]) -> bool:
         """Whether an answer carries the upstream's signature."""
 
-    def refuse_headers(self, request_id: str | None) -> CIMultiDict[str]:
+    def refusal_headers(self, request_id: str | None) -> CIMultiDict[str]:
         """Return the headers of an answer that the gateway makes itself."""
 
 
--- a/mulleinreach/gateway/process.py
+++ b/mulleinreach/gateway/process.py
@@ -12,14 +12,14 @@
 from mulleinreach.common import Clock, Network
 from mulleinreach.common.log import write_without_blocking
 from mulleinreach.common.loop import SuspendAwareEventLoop
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.node import GatewayNode
 from mulleinreach.gateway.ports import Ports
 
 
 def run_process(
     identity: GatewayIdentity,
-    bounds: Bounds,
+    bounds: DeploymentBounds,
     make_ports: Callable[[Network], Ports],
     callers: socket.socket | None,
 ) -> None:
@@ -39,7 +39,7 @@
 
 async def _run_node(
     identity: GatewayIdentity,
-    bounds: Bounds,
+    bounds: DeploymentBounds,
     make_ports: Callable[[Network], Ports],
     callers: socket.socket | None,
 ) -> None:
@@ -48,8 +48,8 @@
     node = GatewayNode(identity, bounds, ports, network, Clock(), callers_socket=callers)
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     # Settings that a running node uses don't change; a new start reads the others.
     loop.add_signal_handler(signal.SIGHUP, lambda: node.log.event("settings_changed"))
     await node.start()
--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass
 
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.reading import PASSED_EVIDENCE_S, WAIT_S
+from mulleinreach.gateway.known.reading import FOLLOWER_WAIT_S, MAX_EVIDENCE_AGE_S
 from mulleinreach.gateway.model import Configuration, Route
 from mulleinreach.gateway.ports import CallerHeaders
 
 # A node whose evidence is older than it gets while all is well may have missed a
 # new route or key.
-CURRENT_EVIDENCE_S = PASSED_EVIDENCE_S + 2 * WAIT_S + 0.2
+CURRENT_EVIDENCE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
 RETRY_AFTER_S = 0.3
 
 
@@ -63,7 +63,7 @@
 class Admission:
     """Checks the route and the API key of a request."""
 
-    def __init__(self, in_force: ConfigurationInForce, bounds: Bounds):
+    def __init__(self, in_force: ConfigurationInForce, bounds: DeploymentBounds):
         self._in_force = in_force
         self._bounds = bounds
 
@@ -86,10 +86,10 @@
     def _check_key(
         self, configuration: Configuration, route: Route, headers: CallerHeaders
     ) -> Admitted | Denied:
-        if self._key_evidence_age_s() > self._bounds.key_evidence_s:
+        if self._key_evidence_age_s() > self._bounds.max_key_evidence_age_s:
             # A key may have been taken away without our knowing it.
             return Denied(503, "the configuration can't be confirmed", RETRY_AFTER_S)
-        organisation = configuration.organisation_of(headers.api_key or "")
+        organisation = configuration.organisation_for_key(headers.api_key or "")
         if organisation is None:
             return self._deny(401, "unknown key")
         own_priority = organisation.priority
@@ -101,7 +101,7 @@
         """Return how long ago no key can have been taken away without our knowing it."""
         age_s = self._in_force.evidence_age_s()
         if self._bounds.trusts_keys_in_outages:
-            return min(age_s, self._in_force.store_away_age_s())
+            return min(age_s, self._in_force.store_unreachable_age_s())
         return age_s
 
     def _deny(self, status: int, reason: str) -> Denied:
--- a/mulleinreach/gateway/request/budget.py
+++ b/mulleinreach/gateway/request/budget.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 
 SAFETY = 0.7
 
@@ -22,7 +22,7 @@
     nodes that count different requests in their windows.
     """
 
-    def __init__(self, bounds: Bounds, clock: Clock, node_count: Callable[[], int]):
+    def __init__(self, bounds: DeploymentBounds, clock: Clock, node_count: Callable[[], int]):
         self._bounds = bounds
         self._clock = clock
         self._node_count = node_count
--- a/mulleinreach/gateway/request/job.py
+++ b/mulleinreach/gateway/request/job.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from mulleinreach.gateway.known.eligibility import RequestTerms
+from mulleinreach.gateway.known.eligibility import RequestConstraints
 from mulleinreach.gateway.model import Service
 from mulleinreach.gateway.ports import CallerHeaders
 from mulleinreach.gateway.request.admission import Admitted
@@ -86,9 +86,9 @@
     upstream_id: str = ""
 
     @property
-    def terms(self) -> RequestTerms:
+    def terms(self) -> RequestConstraints:
         """What decides on its upstreams."""
-        return RequestTerms(self.service, self.admitted.homes)
+        return RequestConstraints(self.service, self.admitted.homes)
 
     def note_events(self, count: int, now: float) -> None:
         """Note that events were passed on to the caller."""
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -16,8 +16,8 @@
 
 from mulleinreach.common import Clock
 from mulleinreach.gateway.known.choosing import UpstreamChooser
-from mulleinreach.gateway.known.eligibility import RequestTerms
-from mulleinreach.gateway.known.load import LoadBook
+from mulleinreach.gateway.known.eligibility import RequestConstraints
+from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import CallerHeaders
 
 # Seconds, and the share of what is left of a caller's time, that a late request waits at most.
@@ -33,19 +33,23 @@
 class LateGate:
     """Holds late requests back while heads are nearly full."""
 
-    def __init__(self, chooser: UpstreamChooser, loads: LoadBook, clock: Clock, rng: random.Random):
+    def __init__(
+        self, chooser: UpstreamChooser, loads: LoadTracker, clock: Clock, rng: random.Random
+    ):
         self._chooser = chooser
         self._loads = loads
         self._clock = clock
         self._rng = rng
 
-    async def wait(self, terms: RequestTerms, headers: CallerHeaders, remaining_s: float) -> None:
+    async def wait(
+        self, terms: RequestConstraints, headers: CallerHeaders, remaining_s: float
+    ) -> None:
         """Wait for a head with free places, or until the patience is over."""
         until = self._clock.now() + min(PATIENCE_S, SHARE_OF_WAIT * remaining_s)
         while self._clock.now() < until and self._is_full(terms, headers):
             await asyncio.sleep(self._rng.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S))
 
-    def _is_full(self, terms: RequestTerms, headers: CallerHeaders) -> bool:
+    def _is_full(self, terms: RequestConstraints, headers: CallerHeaders) -> bool:
         """Whether the head that is drawn is nearly full; a model without heads has none to fill.
 
         A request that no head may take is refused sooner than it would be after a wait.
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.content import content_digest, format_digest
-from mulleinreach.gateway.known.load import Ticket
+from mulleinreach.gateway.known.load import InFlightRequest
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RouteKind, Service
@@ -283,7 +283,7 @@
         job: RelayJob,
         result: Streaming,
         exchange: ActiveExchange,
-        ticket: Ticket,
+        ticket: InFlightRequest,
         response: web.StreamResponse,
     ) -> bool:
         """Pass on whole events; returns whether the stream came to its sound end."""
@@ -345,13 +345,13 @@
         rest = self._sender.rest(job)
         if rest is None:
             return RETRY_AFTER_S
-        until_s = rest.remaining_s + self._rng.uniform(0, RETURN_SPREAD * rest.asked_s)
+        until_s = rest.remaining_s + self._rng.uniform(0, RETURN_SPREAD * rest.requested_s)
         return min(until_s, LONGEST_RETRY_AFTER_S)
 
     def _own_answer(
         self, headers: CallerHeaders, status: int, retry_after_s: float | None
     ) -> web.Response:
-        answer_headers = self._dialect.refuse_headers(headers.request_id)
+        answer_headers = self._dialect.refusal_headers(headers.request_id)
         if retry_after_s is not None:
             answer_headers["Retry-After"] = f"{retry_after_s:g}"
         return web.Response(status=status, headers=answer_headers)
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -8,9 +8,9 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
 from mulleinreach.gateway.known.content import format_digest
-from mulleinreach.gateway.known.crashes import CrashBook
+from mulleinreach.gateway.known.crashes import CrashTracker
 from mulleinreach.gateway.known.eligibility import Exclusion
-from mulleinreach.gateway.known.load import LoadBook, Ticket
+from mulleinreach.gateway.known.load import InFlightRequest, LoadTracker
 from mulleinreach.gateway.known.notices import Rest
 from mulleinreach.gateway.known.upstream_ends import RunOutcome
 from mulleinreach.gateway.metrics import GatewayMetrics
@@ -55,12 +55,12 @@
         chooser: UpstreamChooser,
         client: UpstreamClient,
         dialect: Dialect,
-        loads: LoadBook,
+        loads: LoadTracker,
         active: ActiveExchanges,
         suspects: SuspectList,
         budget: WindowedRetryBudget,
         first_waits: FirstWaits,
-        crashes: CrashBook,
+        crashes: CrashTracker,
         probe: EndedProbe,
         metrics: GatewayMetrics,
         clock: Clock,
@@ -92,7 +92,7 @@
                 "permit_awaited",
                 id=job.headers.request_id,
                 upstream=awaited.upstream_id,
-                given=awaited.is_given,
+                given=awaited.is_granted,
                 ms=round(awaited.waited_s * 1000),
             )
 
@@ -147,7 +147,7 @@
         finally:
             self.end(exchange, ticket)
 
-    def begin(self, job: RelayJob, upstream: Upstream) -> tuple[ActiveExchange, Ticket]:
+    def begin(self, job: RelayJob, upstream: Upstream) -> tuple[ActiveExchange, InFlightRequest]:
         """Note that a request is about to be sent; :meth:`end` has to follow."""
         job.tried.add(upstream.id)
         job.sends += 1
@@ -182,7 +182,7 @@
         ticket = self._loads.start(upstream.id, job.headers.prompt_tokens or 0, is_behind)
         return self._active.begin(upstream.id, job.content), ticket
 
-    def end(self, exchange: ActiveExchange, ticket: Ticket) -> None:
+    def end(self, exchange: ActiveExchange, ticket: InFlightRequest) -> None:
         """Note that an exchange is over."""
         ticket.finish()
         self._active.end(exchange)
@@ -226,7 +226,7 @@
         return self._chooser.rest(job.terms, job.headers)
 
     async def open_stream(
-        self, job: RelayJob, exchange: ActiveExchange, upstream: Upstream, ticket: Ticket
+        self, job: RelayJob, exchange: ActiveExchange, upstream: Upstream, ticket: InFlightRequest
     ) -> ExchangeResult:
         """Send the request and wait for the head of the answer."""
         sending = asyncio.ensure_future(self._send(job, exchange, upstream, wants_stream=True))
--- a/mulleinreach/gateway/request/tests/test_admission.py
+++ b/mulleinreach/gateway/request/tests/test_admission.py
@@ -6,8 +6,8 @@
 
 from mulleinreach.gateway.tests.desk import (
     NO_HOSTS,
-    answer_whole,
-    serve_desk,
+    echo_path,
+    start_plain_upstreams,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
@@ -16,7 +16,7 @@
 
 def test_unknown_key_is_denied():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         assert (await world.call("/order/1", key="other")).status == 401
         assert (await world.call("/order/1", key=None)).status == 401
         assert (await world.call("/public/1", key=None)).status == 200
@@ -26,7 +26,7 @@
 
 def test_key_taken_away_is_denied_at_once():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         assert (await world.call("/order/1")).status == 200
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset()))
         await asyncio.sleep(0.2)
@@ -37,8 +37,8 @@
 
 def test_key_is_not_trusted_while_the_store_is_silent():
     async def test(world):
-        await serve_desk(world, answer_whole)
-        bound_s = world.nodes["node-0"].bounds.key_evidence_s
+        await start_plain_upstreams(world, echo_path)
+        bound_s = world.nodes["node-0"].bounds.max_key_evidence_age_s
         world.store.is_silent = True
         await asyncio.sleep(bound_s + 2)
         answer = await world.call("/order/1")
@@ -53,7 +53,7 @@
 
 def test_older_configuration_is_put_aside():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         world.store.put(CONFIGURATION, "newest", make_configuration(5))
         await asyncio.sleep(0.1)
         world.store.put(CONFIGURATION, "newest", make_configuration(4, frozenset()))
@@ -65,7 +65,7 @@
 
 def test_lost_history_is_read_anew():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         world.store.history_from = world.store.version + 5
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset()))
         await asyncio.sleep(2.5)
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds that hold over all nodes or over a whole deployment: second sends, time, loads."""
+"""DeploymentBounds that hold over all nodes or over a whole deployment: second sends, time, loads."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from aiohttp import web
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.fleet.loads import WINDOW_S, LoadGate
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.fleet.loads import RATE_WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import EXTRA_RESUMES
-from mulleinreach.gateway.tests.noticed import ask_for, large_heads
+from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import DEADLINE_MS, REQUEST_ID, SIGNATURE
 from mulleinreach.standins.gateway.world import PROFILE, make_configuration
@@ -29,7 +29,7 @@
 
 def test_second_sends_of_all_nodes_keep_within_the_budget():
     async def test():
-        bounds, clock, rng = Bounds(), VirtualClock(), random.Random(3)
+        bounds, clock, rng = DeploymentBounds(), VirtualClock(), random.Random(3)
         budgets = [WindowedRetryBudget(bounds, clock, lambda: NODES) for _ in range(NODES)]
         requests, seconds = [], []
         for _ in range(6000):
@@ -99,7 +99,7 @@
 def test_loads_of_weights_keep_below_the_ceiling():
     async def test():
         clock = VirtualClock()
-        gate = LoadGate(clock)
+        gate = WeightLoadLimiter(clock)
         begun = []
         for _ in range(4000):
             if gate.may_begin(PROFILE):
@@ -107,20 +107,20 @@
                 begun.append(clock.now())
                 asyncio.get_running_loop().call_later(0.3, gate.end)
             await asyncio.sleep(0.01)
-        most = _most_in_window(begun, WINDOW_S)
-        assert 0 < most <= PROFILE.loads_per_s * WINDOW_S * CEILING_OVERAGE
+        most = _most_in_window(begun, RATE_WINDOW_S)
+        assert 0 < most <= PROFILE.loads_per_s * RATE_WINDOW_S * CEILING_OVERAGE
 
     run_virtual(test())
 
 
 def test_loads_at_once_are_bounded():
     async def test():
-        gate = LoadGate(VirtualClock())
+        gate = WeightLoadLimiter(VirtualClock())
         running = 0
         while gate.may_begin(PROFILE):
             gate.begin()
             running += 1
-        assert running <= PROFILE.loads_at_once
+        assert running <= PROFILE.max_concurrent_loads
 
     run_virtual(test())
 
@@ -138,7 +138,7 @@
             failing.fails = 10_000
         breaking = heads[2]
         breaking.breaks_after = 2
-        await ask_for(12.0, lambda: world.stream(6))
+        await request_repeatedly(12.0, lambda: world.stream(6))
         route = next(r for r in make_configuration().routes if r.name == "stream")
         runs = world.fabric.checks.runs.values()
         assert any(breaking.id in ran_at and len(ran_at) > 1 for ran_at in runs)
--- a/mulleinreach/gateway/request/tests/test_callers.py
+++ b/mulleinreach/gateway/request/tests/test_callers.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from mulleinreach.gateway.model import Limits
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
+from mulleinreach.gateway.model import RequestLimits
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST
 from mulleinreach.standins.gateway.world import make_configuration
 
 PARTS = [b"part-%d;" % number for number in range(50)]
-SMALL_BODY = Limits(body_bytes=100)
+SMALL_BODY = RequestLimits(body_bytes=100)
 
 
 class _Reader:
@@ -25,7 +25,7 @@
 
     async def __call__(self, request):
         self.bodies.append(await request.read())
-        return await answer_whole(request)
+        return await echo_path(request)
 
 
 async def _in_parts(pause_s: float):
@@ -39,7 +39,7 @@
 def test_body_in_chunks_reaches_its_upstream_whole(path, pause_s):
     async def test(world):
         reader = _Reader()
-        await serve_desk(world, reader)
+        await start_plain_upstreams(world, reader)
         answer = await world.call(path, _in_parts(pause_s))
         assert answer.status == 200
         assert reader.bodies == [b"".join(PARTS)]
@@ -50,7 +50,7 @@
 def test_body_in_chunks_beyond_the_limit_reaches_nobody():
     async def test(world):
         reader = _Reader()
-        await serve_desk(world, reader)
+        await start_plain_upstreams(world, reader)
         world.store.put(CONFIGURATION, NEWEST, replace(make_configuration(2), limits=SMALL_BODY))
         await asyncio.sleep(1)
         assert (await world.call("/order/1", _in_parts(0.0))).status == 413
@@ -62,7 +62,7 @@
 def test_head_beyond_the_limit_is_denied_and_reaches_nobody():
     async def test(world):
         reader = _Reader()
-        await serve_desk(world, reader)
+        await start_plain_upstreams(world, reader)
         answer = await world.call("/order/1", fields={"X-Long": "x" * 40_000})
         assert answer.status in (400, 431)
         assert reader.bodies == []
--- a/mulleinreach/gateway/request/tests/test_connections.py
+++ b/mulleinreach/gateway/request/tests/test_connections.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinreach.gateway.model import Limits
+from mulleinreach.gateway.model import RequestLimits
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import make_configuration
@@ -16,7 +16,7 @@
 
 
 def _allow_idle(world, version: int, idle_timeout_s: float) -> None:
-    limits = Limits(idle_timeout_s=idle_timeout_s)
+    limits = RequestLimits(idle_timeout_s=idle_timeout_s)
     configuration = replace(make_configuration(version), limits=limits)
     world.store.put(CONFIGURATION, "newest", configuration)
 
--- a/mulleinreach/gateway/request/tests/test_crashing_requests.py
+++ b/mulleinreach/gateway/request/tests/test_crashing_requests.py
@@ -17,7 +17,7 @@
 from mulleinreach.gateway.known.crashes import HOLD_S
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.request.urgency import Lateness
-from mulleinreach.gateway.tests.desk import answer_whole, reset
+from mulleinreach.gateway.tests.desk import echo_path, reset_connection
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import GatewayWorld
 
@@ -129,7 +129,7 @@
 def test_plain_request_that_ends_its_upstreams_is_held():
     async def test(world):
         for number in range(6):
-            await world.add_plain(f"desk-{number}", answer_whole)
+            await world.add_plain(f"desk-{number}", echo_path)
         await world.until_formed()
         world.crashes.fatal_bodies.add(FATAL)
         statuses = await ask_again_and_again(world, "/stock/1", 30)
@@ -148,7 +148,7 @@
         await asyncio.sleep(0.03)
         node = world.nodes["node-2"]
         [exchange] = [e for at in node.active._by_upstream.values() for e in at]
-        node.crashes.take_held([HeldContent(exchange.content, HOLD_S)])
+        node.crashes.merge_held([HeldContent(exchange.content, HOLD_S)])
         answer = await waiting
         assert answer.status == 502
         assert node.relay.in_flight == 0
@@ -196,7 +196,7 @@
         await asyncio.sleep(0.5)
         node = world.nodes["node-2"]
         [exchange] = [e for at in node.active._by_upstream.values() for e in at]
-        node.crashes.take_held([HeldContent(exchange.content, HOLD_S)])
+        node.crashes.merge_held([HeldContent(exchange.content, HOLD_S)])
         answer = await asking
         assert answer.event_ids == [str(n) for n in range(1, 41)]
 
@@ -208,7 +208,7 @@
 
     async def test(world):
         for number in range(6):
-            await world.add_plain(f"desk-{number}", answer_whole, world.halls[number % 3])
+            await world.add_plain(f"desk-{number}", echo_path, world.halls[number % 3])
         await world.until_formed()
         world.crashes.fatal_bodies.add(FATAL)
         coordinator = world.coordinator()
@@ -245,7 +245,7 @@
 def test_upstream_that_only_loses_answers_holds_nothing():
     async def test(world):
         for number in range(3):
-            await world.add_plain(f"desk-{number}", reset)
+            await world.add_plain(f"desk-{number}", reset_connection)
         await world.until_formed()
         for _ in range(6):
             answer = await world.call("/stock/1", node="node-0")
--- a/mulleinreach/gateway/request/tests/test_crowded_heads.py
+++ b/mulleinreach/gateway/request/tests/test_crowded_heads.py
@@ -9,8 +9,8 @@
 import asyncio
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.known.load import LoadBook, LoadReport
-from mulleinreach.gateway.known.routing import FULL_PENALTY_MS
+from mulleinreach.gateway.known.load import LoadReport, LoadTracker
+from mulleinreach.gateway.known.routing import QUEUED_PENALTY_MS
 from mulleinreach.gateway.request.urgency import HIGHEST_PRIORITY, LATE_PRIORITY, WAIT_SHARE
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, PROFILE, make_configuration
@@ -19,7 +19,7 @@
 USUAL_PRIORITY = HIGHEST_PRIORITY + 1
 OBJECTIVE_S = make_configuration().routes[0].objective_s
 # So many wait for a place and are in time all the same.
-MOST_WAITING = round(WAIT_SHARE * OBJECTIVE_S * 1000 / FULL_PENALTY_MS)
+MOST_WAITING = round(WAIT_SHARE * OBJECTIVE_S * 1000 / QUEUED_PENALTY_MS)
 PIECES = 40
 
 
@@ -41,7 +41,7 @@
 
 def test_those_that_stand_back_do_not_make_others_stand_back():
     async def test():
-        book = LoadBook(VirtualClock())
+        book = LoadTracker(VirtualClock())
         ahead = [book.start("u", 100) for _ in range(3)]
         back = [book.start("u", 100, stands_back=True) for _ in range(9)]
         assert (book.running("u"), book.running_ahead("u")) == (12, 3)
@@ -57,11 +57,11 @@
 
 def test_those_of_other_nodes_count_as_they_are_told():
     async def test():
-        book = LoadBook(VirtualClock())
+        book = LoadTracker(VirtualClock())
         book.start("u", 100, stands_back=True)
         own = book.own_reports()
         total = LoadReport("u", 10, 500, 0.1, standing_back=4)
-        book.take_totals([total], own)
+        book.update_totals([total], own)
         assert (book.running("u"), book.running_ahead("u")) == (10, 6)
 
     run_virtual(test())
@@ -72,7 +72,7 @@
         await world.until_formed()
         node = world.nodes["node-0"]
         head = node.chooser.heads(MODEL_SERVICE, LARGE)[0]
-        assert node.chooser._router.wait_ms(head, PROFILE) == 0
+        assert node.chooser._router.predicted_wait_ms(head, PROFILE) == 0
 
     run_world(test, nodes=1, domains=1)
 
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -7,14 +7,14 @@
 import pytest
 
 from mulleinreach.gateway.coordination import membership
-from mulleinreach.gateway.deployment import Bounds
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.support import run_world, turn_away
+from mulleinreach.gateway.deployment import DeploymentBounds
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import make_configuration
 
-LENIENT = Bounds(key_evidence_s=6.3, trusts_keys_in_outages=True)
-STRICT = Bounds(key_evidence_s=6.3)
+LENIENT = DeploymentBounds(max_key_evidence_age_s=6.3, trusts_keys_in_outages=True)
+STRICT = DeploymentBounds(max_key_evidence_age_s=6.3)
 LONG_OUTAGE_S = 12.0
 OPTIONS = {"domains": 0, "hosts_per_domain": 0, "nodes": 4}
 
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("outage", ["is_down", "is_silent"])
 def test_keys_work_throughout_an_outage_for_all(outage):
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         setattr(world.store, outage, True)
         for _ in range(int(LONG_OUTAGE_S)):
@@ -43,7 +43,7 @@
 
 def test_keys_stop_working_in_an_outage_where_taking_them_away_is_strict():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         world.store.is_down = True
         await asyncio.sleep(LONG_OUTAGE_S)
@@ -55,16 +55,16 @@
 @pytest.mark.parametrize("turned_away", [1, 2, 3])
 def test_nodes_that_the_store_turns_away_refuse_a_key_that_was_taken_away(turned_away):
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         coordinator = world.coordinator()
         others = [name for name in world.nodes if name != coordinator]
         for name in [coordinator, *others][:turned_away]:
-            turn_away(world.nodes[name])
+            block_store_access(world.nodes[name])
         # A wait that was under way may still be answered.
         await asyncio.sleep(1)
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset()))
-        await asyncio.sleep(LENIENT.key_evidence_s + 0.3)
+        await asyncio.sleep(LENIENT.max_key_evidence_age_s + 0.3)
         for status in (await _statuses(world)).values():
             assert status in (401, 503)
 
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("stops_after_s", [1.0, 3.0, 5.0])
 def test_keys_work_on_when_the_coordinator_stops_during_an_outage(stops_after_s):
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         coordinator = world.coordinator()
         world.store.is_down = True
@@ -99,10 +99,10 @@
         coordinator = world.nodes[world.coordinator()]
         others = [node for node in world.nodes.values() if node is not coordinator]
         for node in [coordinator, *others][:turned_away]:
-            turn_away(node)
+            block_store_access(node)
         for _ in range(100):
             await asyncio.sleep(0.1)
-            assert not coordinator.coordination._hub.is_store_away()
+            assert not coordinator.coordination._hub.is_store_unavailable()
 
     run_world(test, bounds=LENIENT, **OPTIONS)
 
--- a/mulleinreach/gateway/request/tests/test_leaving_callers.py
+++ b/mulleinreach/gateway/request/tests/test_leaving_callers.py
@@ -7,9 +7,9 @@
 import pytest
 
 from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
-from mulleinreach.gateway.tests.desk import NO_HOSTS, serve_desk
-from mulleinreach.gateway.tests.limited import names_limit
-from mulleinreach.gateway.tests.noticed import DeskStandIn
+from mulleinreach.gateway.tests.desk import NO_HOSTS, start_plain_upstreams
+from mulleinreach.gateway.tests.limited import limit_headers
+from mulleinreach.gateway.tests.noticed import ScriptedUpstream
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import API_KEY, CALLER_HOST, LARGE, MODEL_SERVICE
 
@@ -90,8 +90,8 @@
 
 def test_while_it_waits_for_a_permit():
     async def test(world):
-        limited = DeskStandIn(names_limit(0.5))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(0.5))
+        await start_plain_upstreams(world, limited)
         await asyncio.sleep(5)
         await world.call("/stock/1", method="GET")
         count = len(limited.arrivals)
@@ -143,7 +143,7 @@
             finally:
                 ended.append(world.clock.now())
 
-        await serve_desk(world, work)
+        await start_plain_upstreams(world, work)
         await leave(world, asyncio.create_task(world.call(path)), 0.3)
         assert len(ended) == 1
 
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -7,17 +7,22 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.known.limits import ENDED_TOLD_S, UNLISTED_KEPT_S, LimitBook, NamedLimit
-from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
+from mulleinreach.gateway.known.limits import (
+    ENDED_LIMIT_KEPT_S,
+    UNLISTED_LIMIT_KEPT_S,
+    LimitTracker,
+    NamedLimit,
+)
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import UpstreamDirectory
-from mulleinreach.gateway.tests.desk import NO_HOSTS, answer_whole, serve_desk
+from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.limited import (
-    CONTACT_S,
-    ask_all_nodes,
-    assert_kept,
-    names_limit,
+    SYSTEM_PROPAGATION_S,
+    assert_limit_kept,
+    limit_headers,
+    request_all_nodes,
 )
-from mulleinreach.gateway.tests.noticed import DeskStandIn, ask_for, large_heads
+from mulleinreach.gateway.tests.noticed import ScriptedUpstream, large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import incarnation_id
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID
@@ -27,11 +32,11 @@
 LATER = incarnation_id("desk-0", 2)
 
 
-def make_book(*upstreams) -> tuple[LimitBook, SteppedClock]:
+def make_book(*upstreams) -> tuple[LimitTracker, ManualClock]:
     """Return a book whose list has some upstreams, and its clock."""
-    clock, directory = SteppedClock(), UpstreamDirectory()
+    clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, list(upstreams), clock.now())
-    return LimitBook(directory, clock, SilentLog()), clock
+    return LimitTracker(directory, clock, NullLog()), clock
 
 
 def test_later_start_under_the_name_has_no_limit():
@@ -45,7 +50,7 @@
     book, _ = make_book(FIRST)
     book.take(FIRST.id, math.inf)
     assert not book.has_any
-    assert book.untold(includes_told=True) == ()
+    assert book.unpublished(includes_published=True) == ()
 
 
 def test_earlier_word_that_comes_late_changes_nothing():
@@ -53,8 +58,8 @@
     book.take(FIRST.id, 1.5)
     clock.at += 1
     book.take(FIRST.id, math.inf)
-    book.take_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
-    book.take_told([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
+    book.merge_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
+    book.merge_published([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
     assert not book.is_limited(FIRST.id)
 
 
@@ -62,9 +67,9 @@
     book, clock = make_book(FIRST)
     book.take(FIRST.id, 1.5)
     clock.at += 1
-    book.take_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
+    book.merge_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
     assert book.limit_per_s(FIRST.id) == 4.0
-    book.take_reported([NamedLimit(FIRST.id, math.inf, 0.1)])
+    book.merge_reported([NamedLimit(FIRST.id, math.inf, 0.1)])
     assert not book.is_limited(FIRST.id)
 
 
@@ -74,7 +79,7 @@
     clock.at += 1
     book.take(FIRST.id, math.inf)
     assert [limit.per_s for limit in book.named()] == [math.inf]
-    clock.at += ENDED_TOLD_S
+    clock.at += ENDED_LIMIT_KEPT_S
     assert book.named() == ()
 
 
@@ -82,27 +87,27 @@
     book, clock = make_book(FIRST)
     book.take(FIRST.id, 1.5)
     book.take("another", 2.0)
-    clock.at += UNLISTED_KEPT_S
+    clock.at += UNLISTED_LIMIT_KEPT_S
     assert book.limits() == {FIRST.id: 1.5}
 
 
 def test_coordinator_is_told_only_what_it_has_not_told():
     book, clock = make_book(FIRST)
     book.take(FIRST.id, 1.5)
-    assert [limit.per_s for limit in book.untold(includes_told=False)] == [1.5]
-    book.take_told([NamedLimit(FIRST.id, 1.5)], clock.now())
-    assert book.untold(includes_told=False) == ()
-    assert len(book.untold(includes_told=True)) == 1
+    assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [1.5]
+    book.merge_published([NamedLimit(FIRST.id, 1.5)], clock.now())
+    assert book.unpublished(includes_published=False) == ()
+    assert len(book.unpublished(includes_published=True)) == 1
     clock.at += 1
     book.take(FIRST.id, 2.5)
-    assert [limit.per_s for limit in book.untold(includes_told=False)] == [2.5]
+    assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [2.5]
 
 
 def test_refusal_without_a_limit_ends_none():
     """An upstream that is full may turn a request away without saying more."""
 
     async def test(world):
-        limited = DeskStandIn(names_limit(1.1))
+        limited = ScriptedUpstream(limit_headers(1.1))
         refused = 0
 
         async def answer(request):
@@ -114,11 +119,13 @@
                 return web.Response(status=503, headers=headers)
             return await limited(request)
 
-        await serve_desk(world, answer, answer_whole)
+        await start_plain_upstreams(world, answer, echo_path)
         await asyncio.sleep(5)
-        await ask_all_nodes(world, 15.0, 30, lambda n: world.call("/stock/1", method="GET", node=n))
+        await request_all_nodes(
+            world, 15.0, 30, lambda n: world.call("/stock/1", method="GET", node=n)
+        )
         assert refused > 2
-        assert_kept(limited.arrivals, 1.1, limited.arrivals[0] + CONTACT_S)
+        assert_limit_kept(limited.arrivals, 1.1, limited.arrivals[0] + SYSTEM_PROPAGATION_S)
 
     run_world(test, **{**NO_HOSTS, "nodes": 4})
 
@@ -129,7 +136,7 @@
         await asyncio.sleep(5)
         (node,) = world.nodes.values()
         limited, *_ = large_heads(world)
-        limited.headers = names_limit(1.1)
+        limited.headers = limit_headers(1.1)
         while not node.limits.is_limited(limited.id):
             await world.stream(1)
         limited.headers = {}
@@ -142,10 +149,10 @@
 
 def test_limit_of_one_upstream_bounds_no_other():
     async def test(world):
-        limited, free = DeskStandIn(names_limit(0.5)), DeskStandIn()
-        await serve_desk(world, limited, free)
+        limited, free = ScriptedUpstream(limit_headers(0.5)), ScriptedUpstream()
+        await start_plain_upstreams(world, limited, free)
         await asyncio.sleep(5)
-        answers = await ask_for(5.0, lambda: world.call("/stock/1", method="GET"))
+        answers = await request_repeatedly(5.0, lambda: world.call("/stock/1", method="GET"))
         assert {answer.status for answer in answers} == {200}
         assert len(free.arrivals) >= 40
 
@@ -154,11 +161,11 @@
 
 def test_high_limit_keeps_nothing_away():
     async def test(world):
-        limited = DeskStandIn(names_limit(200.0))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(200.0))
+        await start_plain_upstreams(world, limited)
         await asyncio.sleep(5)
-        await ask_for(2.0, lambda: world.call("/order/1"))
-        answers = await ask_for(5.0, lambda: world.call("/order/1"))
+        await request_repeatedly(2.0, lambda: world.call("/order/1"))
+        answers = await request_repeatedly(5.0, lambda: world.call("/order/1"))
         assert {answer.status for answer in answers} == {200}
 
     run_world(test, **NO_HOSTS)
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -7,18 +7,18 @@
 import pytest
 from aiohttp import web
 
-from mulleinreach.gateway.known.notices import NoticeBook
-from mulleinreach.gateway.known.tests.test_crashes import SilentLog, SteppedClock
+from mulleinreach.gateway.known.notices import NoticeTracker
+from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
-from mulleinreach.gateway.tests.desk import NO_HOSTS, answer_whole, serve_desk
-from mulleinreach.gateway.tests.logged import fields_of, keep_events
+from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.noticed import (
-    LEAVES,
+    LEAVING_HEADERS,
+    REST_HEADERS,
     REST_S,
-    WANTS_REST,
-    DeskStandIn,
-    ask_for,
+    ScriptedUpstream,
     large_heads,
+    request_repeatedly,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import Notice, UpstreamState, incarnation_id
@@ -31,26 +31,26 @@
 BACK_WITHIN_S = 2.0
 
 
-def make_book() -> tuple[NoticeBook, UpstreamDirectory, SteppedClock]:
+def make_book() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
     """Return a book, its list and its clock."""
-    clock, directory = SteppedClock(), UpstreamDirectory()
+    clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, [FIRST], clock.now())
-    return NoticeBook(directory, clock, SilentLog(), lambda: None), directory, clock
+    return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
 
 
 def test_shorter_rest_that_is_asked_for_later_ends_no_longer_one():
     book, _, clock = make_book()
-    book.take(FIRST, Notice(rest_s=3.0))
+    book.record(FIRST, Notice(rest_s=3.0))
     clock.at += 1
-    book.take(FIRST, Notice(rest_s=0.5))
+    book.record(FIRST, Notice(rest_s=0.5))
     assert book.rest(FIRST.id).remaining_s == 2.0
 
 
 def test_longer_rest_that_is_asked_for_later_counts():
     book, _, clock = make_book()
-    book.take(FIRST, Notice(rest_s=1.0))
+    book.record(FIRST, Notice(rest_s=1.0))
     clock.at += 0.5
-    book.take(FIRST, Notice(rest_s=3.0))
+    book.record(FIRST, Notice(rest_s=3.0))
     assert book.rest(FIRST.id).remaining_s == 3.0
     clock.at += 3.0
     assert book.rest(FIRST.id) is None
@@ -59,7 +59,7 @@
 
 def test_later_start_under_the_name_neither_rests_nor_leaves():
     book, directory, clock = make_book()
-    book.take(FIRST, Notice(is_leaving=True, rest_s=3.0))
+    book.record(FIRST, Notice(is_leaving=True, rest_s=3.0))
     directory.apply(ListChange(2, [LATER], []), clock.now())
     assert book.rest(LATER.id) is None
     assert directory.get(LATER.id).state is UpstreamState.READY
@@ -67,7 +67,7 @@
 
 def test_row_that_calls_an_upstream_ready_does_not_refute_its_own_word():
     book, directory, clock = make_book()
-    book.take(FIRST, Notice(is_leaving=True))
+    book.record(FIRST, Notice(is_leaving=True))
     for change in (ListChange(2, [FIRST], []), ListChange(3, [], ["desk-0"])):
         directory.apply(change, clock.now())
     directory.replace_all(4, [FIRST], clock.now())
@@ -76,10 +76,10 @@
 
 def test_refusal_without_a_rest_keeps_nobody_away_for_long():
     async def test(world):
-        refusing = DeskStandIn()
+        refusing = ScriptedUpstream()
         refusing.refuses = True
-        await serve_desk(world, refusing, answer_whole)
-        await ask_for(3.0, lambda: world.call("/stock/1", method="GET"))
+        await start_plain_upstreams(world, refusing, echo_path)
+        await request_repeatedly(3.0, lambda: world.call("/stock/1", method="GET"))
         assert len(refusing.arrivals) >= 2
 
     run_world(test, **NO_HOSTS)
@@ -94,16 +94,16 @@
 
         async def answer(request):
             arrivals.append(world.clock.now())
-            response = await answer_whole(request)
+            response = await echo_path(request)
             response.set_status(status)
             response.headers[RETRY_AFTER] = "30"
             if status == 429:
                 response.headers[REFUSED] = "1"
             return response
 
-        await serve_desk(world, answer, answer_whole)
-        await ask_for(1.0, lambda: world.call("/stock/1", method="GET"))
-        await ask_for(BACK_WITHIN_S, lambda: world.call("/stock/1", method="GET"))
+        await start_plain_upstreams(world, answer, echo_path)
+        await request_repeatedly(1.0, lambda: world.call("/stock/1", method="GET"))
+        await request_repeatedly(BACK_WITHIN_S, lambda: world.call("/stock/1", method="GET"))
         assert arrivals[-1] > arrivals[0] + 1.0
 
     run_world(test, **NO_HOSTS)
@@ -111,9 +111,9 @@
 
 def test_connection_that_is_closed_after_an_answer_is_no_word_of_leaving():
     async def test(world):
-        closing = DeskStandIn({"Connection": "close"})
-        await serve_desk(world, closing)
-        answers = await ask_for(4.0, lambda: world.call("/order/1"))
+        closing = ScriptedUpstream({"Connection": "close"})
+        await start_plain_upstreams(world, closing)
+        answers = await request_repeatedly(4.0, lambda: world.call("/order/1"))
         assert {answer.status for answer in answers} == {200}
 
     run_world(test, **NO_HOSTS)
@@ -121,7 +121,7 @@
 
 def test_rest_that_was_asked_of_one_node_keeps_no_other_away():
     async def test(world):
-        desk = DeskStandIn(WANTS_REST)
+        desk = ScriptedUpstream(REST_HEADERS)
         desk.refuses = True
         await world.add_plain("desk-0", desk)
         await world.until(lambda: all(len(n.directory) for n in world.nodes.values()))
@@ -138,22 +138,22 @@
 def test_head_that_rests_is_not_lost_and_keeps_its_group():
     async def test(world):
         await world.until_formed()
-        kept = keep_events(world.nodes["node-0"])
+        kept = record_events(world.nodes["node-0"])
         head, *_ = large_heads(world)
-        head.refuses, head.headers = 1, WANTS_REST
-        await ask_for(2 * REST_S, lambda: world.stream(2))
-        assert fields_of(kept, "group_dissolving") == []
-        assert fields_of(kept, "upstream_lost") == []
+        head.refuses, head.headers = 1, REST_HEADERS
+        await request_repeatedly(2 * REST_S, lambda: world.stream(2))
+        assert event_fields(kept, "group_dissolving") == []
+        assert event_fields(kept, "upstream_lost") == []
 
     run_world(test, nodes=1)
 
 
 def test_answer_of_an_upstream_that_leaves_is_passed_on_as_it_is():
     async def test(world):
-        await serve_desk(world, DeskStandIn(LEAVES))
+        await start_plain_upstreams(world, ScriptedUpstream(LEAVING_HEADERS))
         answer = await world.call("/order/1")
         assert answer.status == 200
-        assert answer.headers.items() >= LEAVES.items()
+        assert answer.headers.items() >= LEAVING_HEADERS.items()
 
     run_world(test, **NO_HOSTS)
 
@@ -162,8 +162,8 @@
     async def test(world):
         await world.until_formed()
         head, *_ = large_heads(world)
-        head.headers = LEAVES
-        answers = await ask_for(2.0, lambda: world.stream(30))
+        head.headers = LEAVING_HEADERS
+        answers = await request_repeatedly(2.0, lambda: world.stream(30))
         assert all(len(answer.event_ids) == 30 for answer in answers)
         assert not any(answer.is_cut for answer in answers)
 
@@ -178,11 +178,11 @@
 
         async def answer(request):
             arrivals.append(world.clock.now())
-            headers = {REQUEST_ID: "another", **WANTS_REST}
+            headers = {REQUEST_ID: "another", **REST_HEADERS}
             return web.Response(status=503, headers=headers)
 
-        await serve_desk(world, answer, answer_whole)
-        await ask_for(REST_S - 0.1, lambda: world.call("/stock/1", method="GET"))
+        await start_plain_upstreams(world, answer, echo_path)
+        await request_repeatedly(REST_S - 0.1, lambda: world.call("/stock/1", method="GET"))
         assert len(arrivals) == 1
 
     run_world(test, **NO_HOSTS)
--- a/mulleinreach/gateway/request/tests/test_relay.py
+++ b/mulleinreach/gateway/request/tests/test_relay.py
@@ -9,15 +9,15 @@
 
 from mulleinreach.gateway.tests.desk import (
     NO_HOSTS,
-    answer_another,
     answer_unsigned,
-    answer_whole,
-    break_off,
+    answer_wrong_request,
+    echo_path,
     fail,
     hang,
     refuse,
-    reset,
-    serve_desk,
+    reset_connection,
+    start_plain_upstreams,
+    truncate_response,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import UPSTREAMS
@@ -25,17 +25,19 @@
 
 def test_path_and_query_are_passed_on_as_they_came():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         answer = await world.call("/stock/a%2Fb//c?x=%20&y", method="GET")
         assert (answer.status, answer.body) == (200, b"/stock/a%2Fb//c?x=%20&y")
 
     run_world(test, **NO_HOSTS)
 
 
-@pytest.mark.parametrize("script", [fail, reset, answer_another, answer_unsigned, break_off])
+@pytest.mark.parametrize(
+    "script", [fail, reset_connection, answer_wrong_request, answer_unsigned, truncate_response]
+)
 def test_safe_request_is_tried_elsewhere_once(script):
     async def test(world):
-        await serve_desk(world, script, answer_whole)
+        await start_plain_upstreams(world, script, echo_path)
         for _ in range(6):
             answer = await world.call("/stock/1", method="GET")
             assert answer.status == 200
@@ -44,10 +46,12 @@
     run_world(test, **NO_HOSTS)
 
 
-@pytest.mark.parametrize("script", [reset, answer_another, answer_unsigned, break_off])
+@pytest.mark.parametrize(
+    "script", [reset_connection, answer_wrong_request, answer_unsigned, truncate_response]
+)
 def test_unsafe_request_is_never_sent_again_after_it_may_have_run(script):
     async def test(world):
-        await serve_desk(world, script, script)
+        await start_plain_upstreams(world, script, script)
         answer = await world.call("/order/1", b"2 tins")
         assert answer.status == 502
         assert sum(len(plain.seen) for plain in world.plain.values()) == 1
@@ -57,7 +61,7 @@
 
 def test_refused_request_is_told_as_not_run_with_a_time_to_come_back():
     async def test(world):
-        await serve_desk(world, refuse)
+        await start_plain_upstreams(world, refuse)
         answer = await world.call("/order/1", b"2 tins")
         assert answer.status == 503
         assert float(answer.headers["Retry-After"]) > 0
@@ -67,7 +71,7 @@
 
 def test_silent_upstream_is_answered_for_at_the_deadline():
     async def test(world):
-        await serve_desk(world, hang)
+        await start_plain_upstreams(world, hang)
         started_at = world.clock.now()
         answer = await world.call("/order/1", b"2 tins", deadline_s=1.0)
         assert answer.status == 504
@@ -88,7 +92,7 @@
 
 def test_draining_upstream_gets_nothing_new():
     async def test(world):
-        await serve_desk(world, answer_whole, answer_whole)
+        await start_plain_upstreams(world, echo_path, echo_path)
         leaving = world.plain["desk-0"]
         world.store.put(UPSTREAMS, "desk-0", replace(leaving.upstream, state="draining"))
         await asyncio.sleep(1.0)
@@ -102,7 +106,7 @@
 
 def test_too_large_requests_are_told_so():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         assert (await world.call("/order/1", b"x" * 5_000_000)).status == 413
         assert (await world.call("/order/1", key="x" * 20_000)).status in (401, 431)
         assert (await world.call("/public/1", key="x" * 20_000)).status == 431
--- a/mulleinreach/gateway/request/tests/test_shortage.py
+++ b/mulleinreach/gateway/request/tests/test_shortage.py
@@ -7,13 +7,13 @@
 import pytest
 
 from mulleinreach.common.log import format_value
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.explain import explain_request, parse_line
-from mulleinreach.gateway.tests.desk import answer_whole, refuse
+from mulleinreach.gateway.tests.desk import echo_path, refuse
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
 
-BOUND_S = Bounds.evacuation_s
+BOUND_S = DeploymentBounds.evacuation_s
 
 
 def _keep_lines(world) -> list[str]:
@@ -51,10 +51,10 @@
     run_world(test, halls=2, nodes=1, domains=2)
 
 
-@pytest.mark.parametrize("script", [answer_whole, refuse])
+@pytest.mark.parametrize("script", [echo_path, refuse])
 def test_refused_plain_request_is_explained_by_its_service_s_upstreams(script):
     async def test(world):
-        await world.add_plain("near", answer_whole, "hall-a")
+        await world.add_plain("near", echo_path, "hall-a")
         await world.add_plain("far", script, "hall-b")
         await asyncio.sleep(3)
         lines = _keep_lines(world)
--- a/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
+++ b/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import answer_whole
+from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.gateway.tests.support import run_world
 
 FATAL = b"999"
@@ -70,7 +70,7 @@
 def test_plain_upstreams_that_end_hold_no_request_back():
     async def answer_late(request):
         await asyncio.sleep(0.3)
-        return await answer_whole(request)
+        return await echo_path(request)
 
     async def test(world):
         for number in range(6):
--- a/mulleinreach/gateway/request/tests/test_upstream_limits.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_limits.py
@@ -17,15 +17,15 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import NO_HOSTS, answer_whole, fail, serve_desk
+from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, fail, start_plain_upstreams
 from mulleinreach.gateway.tests.limited import (
-    CONTACT_S,
-    ask_all_nodes,
-    assert_kept,
-    names_limit,
-    rate,
+    SYSTEM_PROPAGATION_S,
+    assert_limit_kept,
+    limit_headers,
+    request_all_nodes,
+    requests_per_s,
 )
-from mulleinreach.gateway.tests.noticed import DeskStandIn, ask_for, large_heads
+from mulleinreach.gateway.tests.noticed import ScriptedUpstream, large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 
 EIGHT_NODES = {**NO_HOSTS, "nodes": 8}
@@ -51,12 +51,12 @@
 @pytest.mark.parametrize("per_s", [0.5, 1.1, 2.1, 6.0])
 def test_plain_upstream_gets_no_more_than_its_limit_from_all_nodes(per_s):
     async def test(world):
-        limited = DeskStandIn(names_limit(per_s))
-        await serve_desk(world, limited, answer_whole, answer_whole)
+        limited = ScriptedUpstream(limit_headers(per_s))
+        await start_plain_upstreams(world, limited, echo_path, echo_path)
         await until_ready(world)
-        answers = await ask_all_nodes(world, 20.0, 40, call_stock(world))
+        answers = await request_all_nodes(world, 20.0, 40, call_stock(world))
         assert {answer.status for answer in answers} == {200}
-        assert_kept(limited.arrivals, per_s, limited.arrivals[0] + CONTACT_S)
+        assert_limit_kept(limited.arrivals, per_s, limited.arrivals[0] + SYSTEM_PROPAGATION_S)
 
     run_world(test, **EIGHT_NODES)
 
@@ -67,19 +67,19 @@
         await world.until_formed()
         await asyncio.sleep(5)
         limited, *_ = large_heads(world)
-        limited.headers = names_limit(per_s)
+        limited.headers = limit_headers(per_s)
         named_at = world.clock.now()
-        answers = await ask_all_nodes(world, 15.0, 16, lambda n: world.stream(2, node=n))
+        answers = await request_all_nodes(world, 15.0, 16, lambda n: world.stream(2, node=n))
         assert {answer.status for answer in answers} == {200}
-        assert_kept(limited.arrivals, per_s, named_at + CONTACT_S)
+        assert_limit_kept(limited.arrivals, per_s, named_at + SYSTEM_PROPAGATION_S)
 
     run_world(test, nodes=8)
 
 
 def test_one_node_keeps_the_limit_of_its_only_upstream_and_refuses_at_once():
     async def test(world):
-        limited = DeskStandIn(names_limit(1.0))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(1.0))
+        await start_plain_upstreams(world, limited)
         await until_ready(world)
         spans = []
 
@@ -92,8 +92,8 @@
                 assert 0 < float(answer.headers["Retry-After"]) < 10
             return answer
 
-        await ask_all_nodes(world, 16.0, 10, ask)
-        assert_kept(limited.arrivals, 1.0, limited.arrivals[0] + 0.5)
+        await request_all_nodes(world, 16.0, 10, ask)
+        assert_limit_kept(limited.arrivals, 1.0, limited.arrivals[0] + 0.5)
         # Who finds out that permits are short waits for one answer, once a second at most.
         assert max(spans) < ONE_ANSWER_S
         assert sum(span > AT_ONCE_S for span in spans) <= 16
@@ -104,13 +104,13 @@
 @pytest.mark.parametrize("per_s", [0.5, 1.1, 2.0, 6.0])
 def test_limit_is_used_where_there_is_no_other_upstream(per_s):
     async def test(world):
-        limited = DeskStandIn(names_limit(per_s))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(per_s))
+        await start_plain_upstreams(world, limited)
         await until_ready(world)
         first = world.clock.now()
-        await ask_all_nodes(world, 40.0, 20, call_stock(world))
-        assert rate(limited.arrivals, first + 5, first + 40) >= USED * per_s
-        assert_kept(limited.arrivals, per_s, first + CONTACT_S)
+        await request_all_nodes(world, 40.0, 20, call_stock(world))
+        assert requests_per_s(limited.arrivals, first + 5, first + 40) >= USED * per_s
+        assert_limit_kept(limited.arrivals, per_s, first + SYSTEM_PROPAGATION_S)
 
     run_world(test, **EIGHT_NODES)
 
@@ -119,27 +119,27 @@
     """No node has a request often enough to hold a permit when the next one comes."""
 
     async def test(world):
-        limited = DeskStandIn(names_limit(2.0))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(2.0))
+        await start_plain_upstreams(world, limited)
         await until_ready(world)
-        await ask_all_nodes(world, 2.0, 2, call_stock(world))
+        await request_all_nodes(world, 2.0, 2, call_stock(world))
         began_at = world.clock.now()
-        answers = await ask_all_nodes(world, 30.0, 1, call_stock(world))
+        answers = await request_all_nodes(world, 30.0, 1, call_stock(world))
         served = sum(answer.status == 200 for answer in answers)
         assert served >= 0.9 * len(answers)
-        assert_kept(limited.arrivals, 2.0, began_at)
+        assert_limit_kept(limited.arrivals, 2.0, began_at)
 
     run_world(test, **{**NO_HOSTS, "nodes": 20})
 
 
 def test_second_sends_keep_the_limit():
     async def test(world):
-        failing, limited = DeskStandIn(), DeskStandIn(names_limit(1.1))
-        await serve_desk(world, failing, limited)
+        failing, limited = ScriptedUpstream(), ScriptedUpstream(limit_headers(1.1))
+        await start_plain_upstreams(world, failing, limited)
         await until_ready(world)
         world.plain["desk-0"].script = fail
-        await ask_all_nodes(world, 15.0, 20, call_stock(world))
-        assert_kept(limited.arrivals, 1.1, limited.arrivals[0] + CONTACT_S)
+        await request_all_nodes(world, 15.0, 20, call_stock(world))
+        assert_limit_kept(limited.arrivals, 1.1, limited.arrivals[0] + SYSTEM_PROPAGATION_S)
 
     run_world(test, **EIGHT_NODES)
 
@@ -149,22 +149,22 @@
         await world.until_formed()
         await asyncio.sleep(5)
         breaking, limited = large_heads(world)
-        limited.headers = names_limit(1.1)
+        limited.headers = limit_headers(1.1)
         breaking.breaks_after = 2
         named_at = world.clock.now()
-        await ask_for(12.0, lambda: world.stream(5))
-        assert_kept(limited.arrivals, 1.1, named_at + CONTACT_S)
+        await request_repeatedly(12.0, lambda: world.stream(5))
+        assert_limit_kept(limited.arrivals, 1.1, named_at + SYSTEM_PROPAGATION_S)
 
     run_world(test, nodes=1)
 
 
 def test_nodes_that_had_no_such_answer_heed_the_limit_too():
     async def test(world):
-        limited = DeskStandIn(names_limit(1.1))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(1.1))
+        await start_plain_upstreams(world, limited)
         await until_ready(world)
         told = next(name for name in world.nodes if name != world.coordinator())
-        await ask_for(3.0, lambda: world.call("/stock/1", method="GET", node=told))
+        await request_repeatedly(3.0, lambda: world.call("/stock/1", method="GET", node=told))
         began_at = world.clock.now()
         others = [name for name in world.nodes if name != told]
         for _ in range(10):
@@ -178,47 +178,47 @@
 
 def test_limit_holds_while_coordinators_are_replaced():
     async def test(world):
-        limited = DeskStandIn(names_limit(2.1))
-        await serve_desk(world, limited, answer_whole)
+        limited = ScriptedUpstream(limit_headers(2.1))
+        await start_plain_upstreams(world, limited, echo_path)
         await until_ready(world)
-        asking = asyncio.create_task(ask_all_nodes(world, 30.0, 40, call_stock(world)))
+        asking = asyncio.create_task(request_all_nodes(world, 30.0, 40, call_stock(world)))
         for _ in range(3):
             await asyncio.sleep(7)
             await world.kill_node(world.coordinator())
         await asking
-        since = limited.arrivals[0] + CONTACT_S
-        assert_kept(limited.arrivals, 2.1, since)
-        assert rate(limited.arrivals, since, since + 25) > 0.5
+        since = limited.arrivals[0] + SYSTEM_PROPAGATION_S
+        assert_limit_kept(limited.arrivals, 2.1, since)
+        assert requests_per_s(limited.arrivals, since, since + 25) > 0.5
 
     run_world(test, **EIGHT_NODES)
 
 
 def test_limit_holds_while_no_node_reaches_the_others():
     async def test(world):
-        limited = DeskStandIn(names_limit(2.1))
-        await serve_desk(world, limited, answer_whole)
+        limited = ScriptedUpstream(limit_headers(2.1))
+        await start_plain_upstreams(world, limited, echo_path)
         await until_ready(world)
-        asking = asyncio.create_task(ask_all_nodes(world, 20.0, 40, call_stock(world)))
+        asking = asyncio.create_task(request_all_nodes(world, 20.0, 40, call_stock(world)))
         await asyncio.sleep(4)
         for one, other in itertools.combinations(world.nodes, 2):
             world.links.cut_both(one, other)
         await asking
-        since = limited.arrivals[0] + CONTACT_S
-        assert_kept(limited.arrivals, 2.1, since)
-        assert rate(limited.arrivals, since + 6, since + 16) > 0
+        since = limited.arrivals[0] + SYSTEM_PROPAGATION_S
+        assert_limit_kept(limited.arrivals, 2.1, since)
+        assert requests_per_s(limited.arrivals, since + 6, since + 16) > 0
 
     run_world(test, **EIGHT_NODES)
 
 
 def test_limit_ends_when_answers_name_none_any_more():
     async def test(world):
-        limited = DeskStandIn(names_limit(1.1))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(1.1))
+        await start_plain_upstreams(world, limited)
         await until_ready(world)
-        await ask_all_nodes(world, 8.0, 20, call_stock(world))
+        await request_all_nodes(world, 8.0, 20, call_stock(world))
         limited.headers = {}
-        await ask_all_nodes(world, 3.0, 20, call_stock(world))
-        answers = await ask_all_nodes(world, 3.0, 20, call_stock(world))
+        await request_all_nodes(world, 3.0, 20, call_stock(world))
+        answers = await request_all_nodes(world, 3.0, 20, call_stock(world))
         assert {answer.status for answer in answers} == {200}
 
     run_world(test, **EIGHT_NODES)
@@ -226,14 +226,14 @@
 
 def test_upstream_that_takes_nothing_is_asked_now_and_then_until_it_takes_more():
     async def test(world):
-        limited = DeskStandIn(names_limit(0.0))
-        await serve_desk(world, limited)
+        limited = ScriptedUpstream(limit_headers(0.0))
+        await start_plain_upstreams(world, limited)
         await until_ready(world)
-        await ask_all_nodes(world, 20.0, 20, call_stock(world))
-        assert_kept(limited.arrivals, 0.0, limited.arrivals[0] + CONTACT_S)
+        await request_all_nodes(world, 20.0, 20, call_stock(world))
+        assert_limit_kept(limited.arrivals, 0.0, limited.arrivals[0] + SYSTEM_PROPAGATION_S)
         limited.headers = {}
-        await ask_all_nodes(world, 15.0, 20, call_stock(world))
-        answers = await ask_all_nodes(world, 3.0, 20, call_stock(world))
+        await request_all_nodes(world, 15.0, 20, call_stock(world))
+        answers = await request_all_nodes(world, 3.0, 20, call_stock(world))
         assert {answer.status for answer in answers} == {200}
 
     run_world(test, **EIGHT_NODES)
--- a/mulleinreach/gateway/request/tests/test_upstream_notices.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_notices.py
@@ -19,16 +19,16 @@
 from aiohttp import web
 
 from mulleinreach.gateway.known.upstreams import Group
-from mulleinreach.gateway.tests.desk import NO_HOSTS, answer_whole, fail, serve_desk
-from mulleinreach.gateway.tests.logged import fields_of, keep_events
+from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, fail, start_plain_upstreams
+from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.noticed import (
-    LEAVES,
+    LEAVING_HEADERS,
+    REST_HEADERS,
     REST_S,
-    WANTS_REST,
-    DeskStandIn,
-    ask_for,
-    at_rest,
+    ScriptedUpstream,
+    count_during_rest,
     large_heads,
+    request_repeatedly,
 )
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import REQUEST_ID, SIGNATURE
@@ -39,9 +39,9 @@
 AT_ONCE_S = 0.05
 
 
-def resting_desk() -> DeskStandIn:
+def resting_desk() -> ScriptedUpstream:
     """Return a plain upstream that turns each request away and asks for rest."""
-    desk = DeskStandIn(WANTS_REST)
+    desk = ScriptedUpstream(REST_HEADERS)
     desk.refuses = True
     return desk
 
@@ -50,11 +50,11 @@
     async def test(world):
         await world.until_formed()
         head, *_ = large_heads(world)
-        head.refuses, head.headers = 1, WANTS_REST
-        answers = await ask_for(8.0, lambda: world.stream(2))
+        head.refuses, head.headers = 1, REST_HEADERS
+        answers = await request_repeatedly(8.0, lambda: world.stream(2))
         assert {answer.status for answer in answers} == {200}
         asked_at = head.arrivals[0]
-        assert at_rest(head.arrivals, asked_at) == 0
+        assert count_during_rest(head.arrivals, asked_at) == 0
         assert any(at > asked_at + REST_S for at in head.arrivals)
 
     run_world(test, nodes=1)
@@ -63,10 +63,10 @@
 def test_plain_upstream_that_asks_for_rest_gets_none_until_it_is_over():
     async def test(world):
         resting = resting_desk()
-        await serve_desk(world, resting, answer_whole)
-        await ask_for(8.0, lambda: world.call("/stock/1", method="GET"))
+        await start_plain_upstreams(world, resting, echo_path)
+        await request_repeatedly(8.0, lambda: world.call("/stock/1", method="GET"))
         for asked_at in resting.arrivals:
-            assert at_rest(resting.arrivals, asked_at) == 0
+            assert count_during_rest(resting.arrivals, asked_at) == 0
         assert len(resting.arrivals) > 1
 
     run_world(test, **NO_HOSTS)
@@ -80,12 +80,12 @@
             arrivals.append(world.clock.now())
             answer = await fail(request)
             answer.set_status(503)
-            answer.headers.update(WANTS_REST)
+            answer.headers.update(REST_HEADERS)
             return answer
 
-        await serve_desk(world, fail_and_rest, answer_whole)
-        await ask_for(REST_S, lambda: world.call("/stock/1", method="GET"))
-        assert at_rest(arrivals, arrivals[0]) == 0
+        await start_plain_upstreams(world, fail_and_rest, echo_path)
+        await request_repeatedly(REST_S, lambda: world.call("/stock/1", method="GET"))
+        assert count_during_rest(arrivals, arrivals[0]) == 0
 
     run_world(test, **NO_HOSTS)
 
@@ -93,7 +93,7 @@
 def test_callers_are_told_at_once_when_the_first_of_all_rests_ends():
     async def test(world):
         desks = [resting_desk(), resting_desk()]
-        await serve_desk(world, *desks)
+        await start_plain_upstreams(world, *desks)
         for _ in range(2):
             await world.call("/stock/1", method="GET")
         asked_at = min(desk.arrivals[0] for desk in desks)
@@ -104,22 +104,22 @@
         assert world.clock.now() - sent_at < AT_ONCE_S
         back_at = world.clock.now() + float(answer.headers["Retry-After"])
         assert back_at >= asked_at + REST_S
-        assert all(at_rest(desk.arrivals, desk.arrivals[0]) == 0 for desk in desks)
+        assert all(count_during_rest(desk.arrivals, desk.arrivals[0]) == 0 for desk in desks)
 
     run_world(test, **NO_HOSTS)
 
 
 def test_second_send_goes_to_no_upstream_that_rests():
     async def test(world):
-        failing, resting = DeskStandIn(), resting_desk()
-        await serve_desk(world, failing, resting)
+        failing, resting = ScriptedUpstream(), resting_desk()
+        await start_plain_upstreams(world, failing, resting)
         while not resting.arrivals:
             await world.call("/stock/1", method="GET")
         await asyncio.sleep(1.0)
         world.plain["desk-0"].script = fail
-        answers = await ask_for(1.5, lambda: world.call("/stock/1", method="GET"))
+        answers = await request_repeatedly(1.5, lambda: world.call("/stock/1", method="GET"))
         assert {answer.status for answer in answers} == {500}
-        assert at_rest(resting.arrivals, resting.arrivals[0]) == 0
+        assert count_during_rest(resting.arrivals, resting.arrivals[0]) == 0
 
     run_world(test, **NO_HOSTS)
 
@@ -128,15 +128,15 @@
     async def test(world):
         await world.until_formed()
         breaking, resting = large_heads(world)
-        resting.refuses, resting.headers = 1000, WANTS_REST
+        resting.refuses, resting.headers = 1000, REST_HEADERS
         while not resting.arrivals:
             await world.stream(1)
         asked_at = resting.arrivals[0]
         await asyncio.sleep(1.0)
         breaking.breaks_after = 2
-        answers = await ask_for(1.0, lambda: world.stream(5))
+        answers = await request_repeatedly(1.0, lambda: world.stream(5))
         assert all(answer.is_cut for answer in answers)
-        assert at_rest(resting.arrivals, asked_at) == 0
+        assert count_during_rest(resting.arrivals, asked_at) == 0
 
     run_world(test, nodes=1)
 
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("status", [200, 500, 503])
 def test_plain_upstream_that_says_it_leaves_gets_nothing_more(status):
     async def test(world):
-        leaving = DeskStandIn(LEAVES)
+        leaving = ScriptedUpstream(LEAVING_HEADERS)
         leaving.refuses = status == 503
 
         async def answer(request):
@@ -153,8 +153,8 @@
                 response.set_status(500)
             return response
 
-        await serve_desk(world, answer, answer_whole)
-        await ask_for(8.0, lambda: world.call("/stock/1", method="GET"))
+        await start_plain_upstreams(world, answer, echo_path)
+        await request_repeatedly(8.0, lambda: world.call("/stock/1", method="GET"))
         first = leaving.arrivals[0]
         assert leaving.arrivals_between(first + LEAVING_BOUND_S, float("inf")) == 0
 
@@ -163,8 +163,8 @@
 
 def test_upstream_that_leaves_is_not_the_last_resort():
     async def test(world):
-        leaving = DeskStandIn(LEAVES)
-        await serve_desk(world, leaving)
+        leaving = ScriptedUpstream(LEAVING_HEADERS)
+        await start_plain_upstreams(world, leaving)
         assert (await world.call("/order/1")).status == 200
         await asyncio.sleep(LEAVING_BOUND_S)
         answer = await world.call("/order/1")
@@ -178,8 +178,8 @@
     async def test(world):
         await world.until_formed()
         head, *_ = large_heads(world)
-        head.headers = LEAVES
-        await ask_for(8.0, lambda: world.stream(2))
+        head.headers = LEAVING_HEADERS
+        await request_repeatedly(8.0, lambda: world.stream(2))
         assert [at for at in head.arrivals if at > head.arrivals[0] + LEAVING_BOUND_S] == []
 
     run_world(test, nodes=1)
@@ -191,15 +191,15 @@
 
         async def break_off_and_leave(request):
             arrivals.append(world.clock.now())
-            headers = {REQUEST_ID: request.headers[REQUEST_ID], SIGNATURE: "s", **LEAVES}
+            headers = {REQUEST_ID: request.headers[REQUEST_ID], SIGNATURE: "s", **LEAVING_HEADERS}
             response = web.StreamResponse(headers=headers)
             await response.prepare(request)
             await response.write(b"part")
             request.transport.close()
             return response
 
-        await serve_desk(world, break_off_and_leave, answer_whole)
-        await ask_for(6.0, lambda: world.call("/stock/1", method="GET"))
+        await start_plain_upstreams(world, break_off_and_leave, echo_path)
+        await request_repeatedly(6.0, lambda: world.call("/stock/1", method="GET"))
         assert [at for at in arrivals if at > arrivals[0] + LEAVING_BOUND_S] == []
 
     run_world(test, **NO_HOSTS)
@@ -209,15 +209,15 @@
     """A heartbeat that comes late may write the row of an upstream once more."""
 
     async def test(world):
-        leaving = DeskStandIn(LEAVES)
-        await serve_desk(world, leaving, answer_whole)
+        leaving = ScriptedUpstream(LEAVING_HEADERS)
+        await start_plain_upstreams(world, leaving, echo_path)
         while not leaving.arrivals:
             await world.call("/stock/1", method="GET")
         row = world.plain["desk-0"].upstream
         world.store.put(UPSTREAMS, "desk-0", None)
         await asyncio.sleep(LEAVING_BOUND_S)
         world.store.put(UPSTREAMS, "desk-0", row)
-        await ask_for(2.0, lambda: world.call("/stock/1", method="GET"))
+        await request_repeatedly(2.0, lambda: world.call("/stock/1", method="GET"))
         assert len(leaving.arrivals) == 1
 
     run_world(test, **NO_HOSTS)
@@ -231,13 +231,13 @@
         await asyncio.sleep(3)
         (coordinator,) = world.nodes.values()
         leaving, *_ = standbys(world, "domain-0")
-        leaving.headers = LEAVES
+        leaving.headers = LEAVING_HEADERS
         await coordinator.operator.probe(leaving.upstream)
-        kept = keep_events(coordinator)
+        kept = record_events(coordinator)
         head = next(h for h in large_heads(world) if h.upstream.domain == "domain-0")
         await head.die(listed_for_s=0.5)
         await asyncio.sleep(10)
-        joined = [line["members"].split(",") for line in fields_of(kept, "group_joining")]
+        joined = [line["members"].split(",") for line in event_fields(kept, "group_joining")]
         assert joined
         assert all(leaving.id not in members for members in joined)
 
--- a/mulleinreach/gateway/request/urgency.py
+++ b/mulleinreach/gateway/request/urgency.py
@@ -19,7 +19,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from mulleinreach.gateway.model import Route, RouteWait
+from mulleinreach.gateway.model import CallerTimeout, Route
 
 MOVED_PRIORITY = 0
 HIGHEST_PRIORITY = 1
@@ -173,14 +173,14 @@
         self._waits: dict[str, _RouteWaits] = {}
         self._told: dict[str, float] = {}
 
-    def take_told(self, waits: tuple[RouteWait, ...]) -> None:
+    def take_told(self, waits: tuple[CallerTimeout, ...]) -> None:
         """Take what a coordinator knew, for routes of which this node has seen too little."""
         self._told = {wait.route: wait.shortest_s for wait in waits}
 
-    def known(self) -> tuple[RouteWait, ...]:
+    def known(self) -> tuple[CallerTimeout, ...]:
         """Return what is known of the routes that nodes which start should hear of."""
         routes = list({**self._waits, **self._told})
-        waits = [RouteWait(route, self._shortest_first_s(route)) for route in routes]
+        waits = [CallerTimeout(route, self._shortest_first_s(route)) for route in routes]
         return tuple(wait for wait in waits if wait.shortest_s > 0)[:MAX_TOLD]
 
     def _shortest_first_s(self, route: str) -> float:
--- a/mulleinreach/gateway/stored_rows.py
+++ b/mulleinreach/gateway/stored_rows.py
@@ -15,14 +15,14 @@
     ==========
 
     version : the revision of its latest change.
-    unreadable : why it can't be read; empty if it can.
+    unreadable_reason : why it can't be read; empty if it can.
     """
 
     key: str
     version: int
     value: dict | None
     is_removed: bool = False
-    unreadable: str = ""
+    unreadable_reason: str = ""
 
 
 @dataclass(frozen=True)
--- a/mulleinreach/gateway/tests/desk.py
+++ b/mulleinreach/gateway/tests/desk.py
@@ -11,7 +11,7 @@
 NO_HOSTS = {"domains": 0, "hosts_per_domain": 0, "nodes": 1}
 
 
-async def answer_whole(request):
+async def echo_path(request):
     """Answer with the path, as a sound upstream does."""
     await request.read()
     headers = {REQUEST_ID: request.headers[REQUEST_ID], SIGNATURE: "s"}
@@ -28,14 +28,14 @@
     return web.Response(status=503, headers={REFUSED: "1"})
 
 
-async def reset(request):
+async def reset_connection(request):
     """Run the request and lose the answer."""
     await request.read()
     request.transport.abort()
     return web.Response()
 
 
-async def answer_another(request):
+async def answer_wrong_request(request):
     """Answer a request that nobody asked."""
     return web.Response(text="x", headers={REQUEST_ID: "another", SIGNATURE: "s"})
 
@@ -50,7 +50,7 @@
     await asyncio.sleep(3600)
 
 
-async def break_off(request):
+async def truncate_response(request):
     """Announce more bytes than are sent."""
     headers = {REQUEST_ID: request.headers[REQUEST_ID], SIGNATURE: "s", "Content-Length": "99"}
     response = web.StreamResponse(headers=headers)
@@ -60,9 +60,9 @@
     return response
 
 
-async def serve_desk(world, *scripts):
+async def start_plain_upstreams(world, *handlers):
     """Start one upstream for each script, and wait until the node knows them."""
-    for number, script in enumerate(scripts):
-        await world.add_plain(f"desk-{number}", script)
-    await world.until(lambda: len(world.nodes["node-0"].directory) >= len(scripts))
+    for number, handler in enumerate(handlers):
+        await world.add_plain(f"desk-{number}", handler)
+    await world.until(lambda: len(world.nodes["node-0"].directory) >= len(handlers))
     await world.until(lambda: world.nodes["node-0"].is_ready())
--- a/mulleinreach/gateway/tests/limited.py
+++ b/mulleinreach/gateway/tests/limited.py
@@ -13,20 +13,20 @@
 WINDOW_S = 4.0
 OVERAGE, SLACK = 1.5, 5
 # From when on it binds a node that was told by an answer, and the whole system.
-TOLD_S, CONTACT_S = 0.5, 3.0
+NODE_PROPAGATION_S, SYSTEM_PROPAGATION_S = 0.5, 3.0
 
 
-def names_limit(per_s: float) -> dict[str, str]:
+def limit_headers(per_s: float) -> dict[str, str]:
     """Return the headers of an upstream's answers that name a limit."""
     return {LIMIT: f"{per_s:g}"}
 
 
-def allowed(per_s: float) -> float:
+def max_allowed_requests(per_s: float) -> float:
     """Return how many requests may come within a window."""
     return OVERAGE * per_s * WINDOW_S + SLACK
 
 
-def most_in_a_window(arrivals: list[float], since: float = -math.inf) -> int:
+def max_requests_in_window(arrivals: list[float], since: float = -math.inf) -> int:
     """Return the most requests that came within any window that begins after a moment."""
     later = sorted(at for at in arrivals if at >= since)
     return max(
@@ -35,17 +35,17 @@
     )
 
 
-def assert_kept(arrivals: list[float], per_s: float, since: float = -math.inf) -> None:
+def assert_limit_kept(arrivals: list[float], per_s: float, since: float = -math.inf) -> None:
     """Check that a limit was kept from a moment on."""
-    assert most_in_a_window(arrivals, since) <= allowed(per_s)
+    assert max_requests_in_window(arrivals, since) <= max_allowed_requests(per_s)
 
 
-def rate(arrivals: list[float], since: float, until: float) -> float:
+def requests_per_s(arrivals: list[float], since: float, until: float) -> float:
     """Return how many requests came a second in a time."""
     return sum(since <= at < until for at in arrivals) / (until - since)
 
 
-async def ask_all_nodes(world: GatewayWorld, seconds: float, per_s: float, ask) -> list[object]:
+async def request_all_nodes(world: GatewayWorld, seconds: float, per_s: float, ask) -> list[object]:
     """Ask all nodes in turn, so many times a second together, whatever became of earlier asks.
 
     Parameters
--- a/mulleinreach/gateway/tests/logged.py
+++ b/mulleinreach/gateway/tests/logged.py
@@ -15,19 +15,19 @@
     fields: dict[str, object]
 
 
-def keep_events(node: GatewayNode) -> list[LoggedEvent]:
+def record_events(node: GatewayNode) -> list[LoggedEvent]:
     """Return a list to which each later event of a node is added."""
-    kept: list[LoggedEvent] = []
+    recorded: list[LoggedEvent] = []
     log = node.log.event
 
     def event(name: str, **fields: object) -> None:
-        kept.append(LoggedEvent(name, fields))
+        recorded.append(LoggedEvent(name, fields))
         log(name, **fields)
 
     node.log.event = event
-    return kept
+    return recorded
 
 
-def fields_of(kept: list[LoggedEvent], name: str) -> list[dict[str, object]]:
+def event_fields(recorded: list[LoggedEvent], name: str) -> list[dict[str, object]]:
     """Return the fields of all events of a name."""
-    return [event.fields for event in kept if event.name == name]
+    return [event.fields for event in recorded if event.name == name]
--- a/mulleinreach/gateway/tests/noticed.py
+++ b/mulleinreach/gateway/tests/noticed.py
@@ -7,19 +7,19 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.tests.desk import answer_whole
+from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.standins.gateway.dialect import LEAVING, REFUSED, REQUEST_ID, RETRY_AFTER
 from mulleinreach.standins.gateway.hosts import HostStandIn
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, GatewayWorld
 
 REST_S = 3.0
 # What was on its way when an upstream asked for rest may still come for so long.
-ON_ITS_WAY_S = 0.5
-LEAVES = {LEAVING: "1"}
-WANTS_REST = {RETRY_AFTER: f"{REST_S:g}"}
+IN_FLIGHT_GRACE_S = 0.5
+LEAVING_HEADERS = {LEAVING: "1"}
+REST_HEADERS = {RETRY_AFTER: f"{REST_S:g}"}
 
 
-class DeskStandIn:
+class ScriptedUpstream:
     """The script of a plain upstream, which can be made to refuse, and keeps count.
 
     Parameters
@@ -39,7 +39,7 @@
         if self.refuses:
             headers = {REFUSED: "1", REQUEST_ID: request.headers[REQUEST_ID], **self.headers}
             return web.Response(status=503, headers=headers)
-        answer = await answer_whole(request)
+        answer = await echo_path(request)
         answer.headers.update(self.headers)
         return answer
 
@@ -54,12 +54,12 @@
     return [world.fabric.hosts[head.upstream.id] for head in heads]
 
 
-def at_rest(arrivals: list[float], asked_at: float, rest_s: float = REST_S) -> int:
+def count_during_rest(arrivals: list[float], asked_at: float, rest_s: float = REST_S) -> int:
     """Return how many requests came within a rest, those left out that were on their way."""
-    return sum(asked_at + ON_ITS_WAY_S < at < asked_at + rest_s for at in arrivals)
+    return sum(asked_at + IN_FLIGHT_GRACE_S < at < asked_at + rest_s for at in arrivals)
 
 
-async def ask_for(seconds: float, ask: Callable[[], object]) -> list[object]:
+async def request_repeatedly(seconds: float, ask: Callable[[], object]) -> list[object]:
     """Ask ten times a second, whether or not the earlier ones were answered."""
     asking = []
     for _ in range(round(seconds * 10)):
--- a/mulleinreach/gateway/tests/support.py
+++ b/mulleinreach/gateway/tests/support.py
@@ -25,27 +25,27 @@
     run_virtual(run())
 
 
-def turn_away(node) -> None:
+def block_store_access(node) -> None:
     """Have the store refuse all calls of one node."""
     for port in (node.ports.lease, node.ports.configurations, node.ports.upstreams):
         for name in ("read", "write", "wait"):
             if hasattr(port, name):
-                setattr(port, name, refuse_call)
+                setattr(port, name, return_unavailable)
 
 
-def let_in(node) -> None:
+def restore_store_access(node) -> None:
     """Have the store answer a node that it has turned away."""
     for port in (node.ports.lease, node.ports.configurations, node.ports.upstreams):
         for name in ("read", "write", "wait"):
             vars(port).pop(name, None)
 
 
-async def refuse_call(*args) -> Unavailable:
+async def return_unavailable(*args) -> Unavailable:
     """Answer a call as the store does for a node that it turns away."""
     return Unavailable("turned away")
 
 
-async def keep_asking(world: GatewayWorld, model: str) -> None:
+async def request_streams_forever(world: GatewayWorld, model: str) -> None:
     """Ask for streams for ever, as the callers do whose silence shows a loss."""
     running = set()
     while True:
--- a/mulleinreach/gateway/tests/test_imports.py
+++ b/mulleinreach/gateway/tests/test_imports.py
@@ -12,7 +12,7 @@
 FOLDER = Path(mulleinreach.gateway.__file__).parent
 PREFIX = "mulleinreach.gateway."
 # Each may import what stands before it, and modules of its own folder.
-FROM_THE_BOTTOM_UP = [
+LAYERS_BOTTOM_UP = [
     "revision",
     "stored_rows",
     "model",
@@ -62,6 +62,6 @@
 
 @pytest.mark.parametrize("path", _modules(), ids=lambda path: str(path.relative_to(FOLDER)))
 def test_no_module_imports_from_above(path):
-    own = FROM_THE_BOTTOM_UP.index(_layer(path))
-    above = set(FROM_THE_BOTTOM_UP[own + 1 :])
+    own = LAYERS_BOTTOM_UP.index(_layer(path))
+    above = set(LAYERS_BOTTOM_UP[own + 1 :])
     assert not _imported_layers(path) & above
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -9,8 +9,8 @@
 
 from mulleinreach.gateway.tests.desk import (
     NO_HOSTS,
-    answer_whole,
-    serve_desk,
+    echo_path,
+    start_plain_upstreams,
 )
 from mulleinreach.gateway.tests.support import run_world
 
@@ -34,15 +34,15 @@
 async def answer_slowly(request):
     """Answer soundly after most of a second."""
     await asyncio.sleep(0.8)
-    return await answer_whole(request)
+    return await echo_path(request)
 
 
 @pytest.mark.parametrize("after_s", [0.0, 3.0, 3.19, 3.22, 3.3])
 def test_planned_stop_cuts_no_request_that_it_has_taken(after_s):
     async def test(world):
-        await serve_desk(world, answer_slowly)
+        await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
-        node._tasks.spawn(_end_slowly())
+        node._tasks.spawn(_finish_slowly())
         stopping = asyncio.create_task(node.stop())
         await asyncio.sleep(after_s)
         try:
@@ -58,7 +58,7 @@
 
 def test_planned_stop_takes_nothing_new_although_callers_go_on():
     async def test(world):
-        await serve_desk(world, answer_slowly)
+        await start_plain_upstreams(world, answer_slowly)
         stopping = asyncio.create_task(world.nodes["node-0"].stop())
         started_at = world.clock.now()
         calls = []
@@ -76,7 +76,7 @@
 
 def test_planned_stop_closes_connections_at_rest():
     async def test(world):
-        await serve_desk(world, answer_slowly)
+        await start_plain_upstreams(world, answer_slowly)
         node = world.nodes["node-0"]
         reader, writer = await node.network.connect(node.identity.callers)
         running = asyncio.create_task(world.call("/order/1", b"2 tins"))
@@ -97,7 +97,7 @@
     return await world.call("/order/1", b"2 tins")
 
 
-async def _end_slowly():
+async def _finish_slowly():
     """Take a while to end, as tasks do on a busy node."""
     try:
         await asyncio.sleep(3600)
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from mulleinreach.gateway.known.waking import TOLD_FROM_S, WakeWatch
-from mulleinreach.gateway.tests.desk import answer_whole, serve_desk
-from mulleinreach.gateway.tests.logged import fields_of, keep_events
+from mulleinreach.gateway.known.waking import MIN_LOGGED_SUSPENSION_S, SuspensionMonitor
+from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import make_configuration
@@ -63,7 +63,7 @@
 
 def test_key_taken_away_in_suspension_does_not_work_at_the_wake():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         name = follower_of(world)
         assert (await world.call("/order/1", node=name)).status == 200
@@ -81,7 +81,7 @@
 
 def test_woken_node_serves_again_once_it_has_heard():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         name = follower_of(world)
         world.suspend(name, SUSPENDED_S)
@@ -94,7 +94,7 @@
 
 def test_request_whose_deadline_passed_in_suspension_is_sent_nowhere():
     async def test(world):
-        await serve_desk(world, answer_whole)
+        await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
         name = follower_of(world)
         node = world.nodes[name]
@@ -113,16 +113,18 @@
 
 def test_wake_is_told_once_with_what_it_made_old():
     async def test(world):
-        kept = keep_events(world.nodes["node-0"])
+        kept = record_events(world.nodes["node-0"])
         slept = [3.0]
-        watch = WakeWatch(lambda: slept[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log)
+        watch = SuspensionMonitor(
+            lambda: slept[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log
+        )
         watch.look()
-        slept[0] += TOLD_FROM_S / 2
+        slept[0] += MIN_LOGGED_SUSPENSION_S / 2
         watch.look()
         slept[0] += 5
         watch.look()
         watch.look()
-        [told] = fields_of(kept, "node_woke")
+        [told] = event_fields(kept, "node_woke")
         assert told == {"suspended_s": pytest.approx(5), "in_flight": 2}
 
     run_world(test, **PLAIN)
--- a/mulleinreach/gateway/tests/traffic.py
+++ b/mulleinreach/gateway/tests/traffic.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from mulleinreach.gateway.tests.desk import answer_whole
+from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.gateway.tests.support import run_world
 
 THREE_HALLS = {"halls": 3, "nodes": 3, "domains": 3}
@@ -18,32 +18,32 @@
 
     def __init__(self, world):
         self._world = world
-        self._plain_starts: dict[str, list[float]] = {hall: [] for hall in world.halls}
+        self._plain_request_times: dict[str, list[float]] = {hall: [] for hall in world.halls}
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
         """Ask for ever, once there is an upstream of each kind in each hall."""
         for hall in self._world.halls:
-            await self._world.add_plain(f"desk-{hall}", self._answer_in(hall), hall)
+            await self._world.add_plain(f"desk-{hall}", self._make_handler(hall), hall)
         await self._world.until_formed()
         await asyncio.sleep(2)
-        self._keep(asyncio.create_task(self._ask()))
+        self._track(asyncio.create_task(self._send_forever()))
 
-    def _answer_in(self, hall: str):
+    def _make_handler(self, hall: str):
         async def answer(request):
-            self._plain_starts[hall].append(self._world.clock.now())
-            return await answer_whole(request)
+            self._plain_request_times[hall].append(self._world.clock.now())
+            return await echo_path(request)
 
         return answer
 
-    async def _ask(self) -> None:
+    async def _send_forever(self) -> None:
         while True:
             for name in list(self._world.nodes):
-                self._keep(asyncio.create_task(self._call("/order/1", name)))
-                self._keep(asyncio.create_task(self._call("/stream/draft", name, b"3")))
+                self._track(asyncio.create_task(self._call("/order/1", name)))
+                self._track(asyncio.create_task(self._call("/stream/draft", name, b"3")))
             await asyncio.sleep(0.05)
 
-    def _keep(self, task: asyncio.Task) -> None:
+    def _track(self, task: asyncio.Task) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -52,11 +52,11 @@
         with contextlib.suppress(aiohttp.ClientError, KeyError):
             await self._world.call(path, body, node=node)
 
-    def plain_starts(self, hall: str) -> list[float]:
+    def plain_request_times(self, hall: str) -> list[float]:
         """Return when upstreams of the plain service were sent requests."""
-        return self._plain_starts[hall]
+        return self._plain_request_times[hall]
 
-    def model_starts(self, hall: str) -> list[float]:
+    def model_request_times(self, hall: str) -> list[float]:
         """Return when hosts of a hall began requests."""
         checks, hosts = self._world.fabric.checks, self._world.fabric.hosts
         return [
@@ -66,9 +66,9 @@
             if hosts[host].upstream.hall == hall
         ]
 
-    def starts_after(self, hall: str, moment: float) -> list[float]:
+    def request_times_after(self, hall: str, moment: float) -> list[float]:
         """Return the starts of either kind after a moment."""
-        starts = self.plain_starts(hall) + self.model_starts(hall)
+        starts = self.plain_request_times(hall) + self.model_request_times(hall)
         return [at for at in starts if at > moment]
 
     async def stop(self) -> None:
--- a/mulleinreach/gateway/upstream.py
+++ b/mulleinreach/gateway/upstream.py
@@ -8,7 +8,7 @@
 from mulleinreach.common import Address
 
 # Stands between name and start in an upstream's id, and in no name.
-START_MARK = "@"
+START_SEPARATOR = "@"
 
 
 class UpstreamState(enum.StrEnum):
@@ -91,7 +91,7 @@
     limit_per_s: float | None = None
 
 
-NOTHING_SAID = Notice()
+EMPTY_NOTICE = Notice()
 
 
 def incarnation_id(name: str, started_ms: int | None) -> str:
@@ -112,31 +112,31 @@
     >>> incarnation_id("u-1", None)
     'u-1'
     """
-    return name if started_ms is None else f"{name}{START_MARK}{started_ms}"
+    return name if started_ms is None else f"{name}{START_SEPARATOR}{started_ms}"
 
 
-def name_of(upstream_id: str) -> str:
+def upstream_name(upstream_id: str) -> str:
     """Return the name of an upstream on the list, whichever start an id is of.
 
     Examples
     ========
 
-    >>> name_of("u-1@1790000000000"), name_of("u-1")
+    >>> upstream_name("u-1@1790000000000"), upstream_name("u-1")
     ('u-1', 'u-1')
     """
-    return upstream_id.partition(START_MARK)[0]
+    return upstream_id.partition(START_SEPARATOR)[0]
 
 
-def start_of(upstream_id: str) -> int | None:
+def start_time_ms(upstream_id: str) -> int | None:
     """Return when the start of an id was, if it is known.
 
     Examples
     ========
 
-    >>> start_of("u-1@1790000000000"), start_of("u-1")
+    >>> start_time_ms("u-1@1790000000000"), start_time_ms("u-1")
     (1790000000000, None)
     """
-    started_ms = upstream_id.partition(START_MARK)[2]
+    started_ms = upstream_id.partition(START_SEPARATOR)[2]
     return int(started_ms) if started_ms else None
 
 
@@ -145,15 +145,15 @@
     return f"g{epoch}.{model}"
 
 
-def model_in_name(name: str) -> str | None:
+def model_of_group(name: str) -> str | None:
     """Return the model that a group's name tells.
 
     Examples
     ========
 
-    >>> model_in_name(group_name(7, "wide"))
+    >>> model_of_group(group_name(7, "wide"))
     'wide'
-    >>> model_in_name("another") is None
+    >>> model_of_group("another") is None
     True
     """
     return name.partition(".")[2] or None
--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -6,8 +6,8 @@
     Configuration,
     EngineModel,
     EngineProfile,
-    Limits,
     Organisation,
+    RequestLimits,
     Route,
     RouteKind,
     Service,
@@ -86,16 +86,16 @@
         per_sequence_ms=float(raw.get("per_seq_ms", 0)),
         read_tokens_per_s=float(raw["read_per_s"]),
         stride=int(raw.get("stride", 1)),
-        form_s=float(raw.get("form_ms", 0)) / 1000,
+        formation_s=float(raw.get("form_ms", 0)) / 1000,
         loads_per_s=float(raw.get("loads_per_s", 1)),
-        loads_at_once=int(raw.get("loads_at_once", 1)),
+        max_concurrent_loads=int(raw.get("loads_at_once", 1)),
         report_lag_s=float(raw.get("report_lag_ms", 200)) / 1000,
     )
 
 
-def _parse_limits(raw: dict) -> Limits:
-    usual = Limits()
-    return Limits(
+def _parse_limits(raw: dict) -> RequestLimits:
+    usual = RequestLimits()
+    return RequestLimits(
         header_bytes=int(raw.get("max_header_bytes", usual.header_bytes)),
         body_bytes=int(raw.get("max_body_bytes", usual.body_bytes)),
         header_timeout_s=float(raw.get("header_timeout_ms", usual.header_timeout_s * 1000)) / 1000,
--- a/mulleinreach/platform/dialect.py
+++ b/mulleinreach/platform/dialect.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.common.http_fields import bearer_key, read_number
 from mulleinreach.gateway.ports import CallerHeaders
-from mulleinreach.gateway.upstream import Notice, name_of
+from mulleinreach.gateway.upstream import Notice, upstream_name
 from mulleinreach.platform.notices import read_notice
 from mulleinreach.platform.orders import EXPECT_INSTANCE
 
@@ -68,7 +68,7 @@
         for name in _SET_BY_THE_SYSTEM:
             forwarded.popall(name, None)
         forwarded[DEADLINE_MS] = str(max(1, int(remaining_s * 1000)))
-        forwarded[EXPECT_INSTANCE] = name_of(upstream_id)
+        forwarded[EXPECT_INSTANCE] = upstream_name(upstream_id)
         if organisation is not None:
             forwarded[TENANT] = organisation
         if last_event_id is not None:
@@ -97,6 +97,6 @@
         """Whether an answer carries the replica's signature."""
         return SIGNATURE in headers
 
-    def refuse_headers(self, request_id: str | None) -> CIMultiDict[str]:
+    def refusal_headers(self, request_id: str | None) -> CIMultiDict[str]:
         """Return the headers of an answer that the gateway makes itself."""
         return CIMultiDict({} if request_id is None else {REQUEST_ID: request_id})
--- a/mulleinreach/platform/orders.py
+++ b/mulleinreach/platform/orders.py
@@ -17,7 +17,7 @@
     Rejected,
     Unavailable,
 )
-from mulleinreach.gateway.upstream import Notice, Upstream, name_of
+from mulleinreach.gateway.upstream import Notice, Upstream, upstream_name
 from mulleinreach.platform.notices import read_notice
 from mulleinreach.platform.rows import parse_report
 
@@ -58,7 +58,7 @@
             "group": group,
             "epoch": epoch,
             "model": model,
-            "members": [name_of(member) for member in members],
+            "members": [upstream_name(member) for member in members],
         }
         return await self._order(host, order, token)
 
@@ -77,7 +77,7 @@
     async def report(self, host: Upstream, timeout_s: float) -> Upstream | Unavailable:
         """Ask the host for its state."""
         url = host.address.url + "/mulleinreach/report"
-        headers = {EXPECT_INSTANCE: name_of(host.id)}
+        headers = {EXPECT_INSTANCE: upstream_name(host.id)}
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._session.get(url, headers=headers) as response:
@@ -94,7 +94,7 @@
         if self._sends_token:
             order = {**order, "fence": token}
         url = host.address.url + "/mulleinreach/order"
-        headers = {EXPECT_INSTANCE: name_of(host.id)}
+        headers = {EXPECT_INSTANCE: upstream_name(host.id)}
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_S):
                 async with self._session.post(url, json=order, headers=headers) as response:
--- a/mulleinreach/platform/rows.py
+++ b/mulleinreach/platform/rows.py
@@ -23,8 +23,8 @@
     Upstream,
     UpstreamState,
     incarnation_id,
-    name_of,
-    start_of,
+    start_time_ms,
+    upstream_name,
 )
 
 # Without the mark that stands before the start in an upstream's id.
@@ -126,9 +126,9 @@
     The process that answers may be a later start of the one that was asked.
     """
     report = check(_Report, raw)
-    start = start_of(known.id)
+    start = start_time_ms(known.id)
     if start is not None and report.born not in (None, start):
-        raise CheckError(f"{name_of(known.id)} has started again")
+        raise CheckError(f"{upstream_name(known.id)} has started again")
     return replace(
         known,
         models=report.model_names(),
--- a/mulleinreach/platform/settings.py
+++ b/mulleinreach/platform/settings.py
@@ -6,7 +6,7 @@
 
 from mulleinreach.common import Address
 from mulleinreach.common.fields import FieldReader, SettingsError, parse_lines
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 
 METRICS_PORT_OFFSET = 1
 # The bounds on keys count from the acknowledgement; the rest covers the way.
@@ -24,7 +24,7 @@
     """
 
     identity: GatewayIdentity
-    bounds: Bounds
+    bounds: DeploymentBounds
     store: Address
     engines_check_token: bool
 
@@ -65,21 +65,23 @@
         link_mbps=reader.optional("limits.link_mbps", GatewayIdentity.link_mbps),
         regions=reader.entries("zones."),
     )
-    bounds = Bounds(
-        key_evidence_s=KEY_EVIDENCE_SHARE * _key_bound_s(reader),
+    bounds = DeploymentBounds(
+        max_key_evidence_age_s=KEY_EVIDENCE_SHARE * _key_bound_s(reader),
         trusts_keys_in_outages=not reader.flag("bounds.strict_revoke"),
-        config_s=reader.seconds("bounds.config_ms"),
-        leaving_s=reader.seconds("bounds.drain_ms"),
+        config_propagation_s=reader.seconds("bounds.config_ms"),
+        leaving_propagation_s=reader.seconds("bounds.drain_ms"),
         stop_grace_s=reader.number("bounds.grace_s"),
-        stall_s=reader.seconds("bounds.stall_ms"),
+        group_stall_s=reader.seconds("bounds.stall_ms"),
         retry_ratio=reader.number("bounds.retry_budget_ratio"),
         retry_slack=reader.number("bounds.retry_slack"),
         retry_window_s=reader.number("bounds.budget_window_s"),
-        evacuation_s=reader.optional("bounds.evac_ms", 1000 * Bounds.evacuation_s) / 1000,
-        cold_ratio=reader.optional("bounds.cold_overage", Bounds.cold_ratio),
-        cold_slack=reader.optional("bounds.cold_slack", Bounds.cold_slack),
-        halls_at_once=int(reader.optional("fault_tolerance.zones", Bounds.halls_at_once)),
-        heartbeat_s=reader.optional("heartbeat_ms", 1000 * Bounds.heartbeat_s) / 1000,
+        evacuation_s=reader.optional("bounds.evac_ms", 1000 * DeploymentBounds.evacuation_s) / 1000,
+        cold_ratio=reader.optional("bounds.cold_overage", DeploymentBounds.cold_ratio),
+        cold_slack=reader.optional("bounds.cold_slack", DeploymentBounds.cold_slack),
+        max_lost_halls=int(
+            reader.optional("fault_tolerance.zones", DeploymentBounds.max_lost_halls)
+        ),
+        heartbeat_s=reader.optional("heartbeat_ms", 1000 * DeploymentBounds.heartbeat_s) / 1000,
     )
     return PlatformSettings(
         identity,
--- a/mulleinreach/platform/sources.py
+++ b/mulleinreach/platform/sources.py
@@ -65,8 +65,8 @@
             if row.key.startswith(EVACUATION_PREFIX):
                 hall = row.key.removeprefix(EVACUATION_PREFIX)
                 evacuations[hall] = EvacuationRow(hall, 0 if row.is_removed else row.version)
-            elif row.key == CONFIGURATION_KEY and row.unreadable:
-                logging.error("event=configuration_unreadable why=%r", row.unreadable)
+            elif row.key == CONFIGURATION_KEY and row.unreadable_reason:
+                logging.error("event=configuration_unreadable why=%r", row.unreadable_reason)
             elif row.key == CONFIGURATION_KEY and row.value is not None:
                 configuration = _parse(row.value)
                 document = pack_document(row.value)
@@ -138,7 +138,7 @@
         try:
             return parse_upstream(row.key, row.value)
         except CheckError as error:
-            return UnusableRow(row.key, row.unreadable or str(error))
+            return UnusableRow(row.key, row.unreadable_reason or str(error))
 
 
 def _row_states(rows: OperatorRows | None) -> list[RowState]:
@@ -168,7 +168,7 @@
         if row is None:
             return LeaseRead(0, None, era)
         if row.value is None:
-            logging.warning("event=lease_unreadable why=%r", row.unreadable)
+            logging.warning("event=lease_unreadable why=%r", row.unreadable_reason)
             return LeaseRead(row.version, None, era)
         return LeaseRead(row.version, decode_record(row.value), era)
 
--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -59,7 +59,7 @@
     try:
         return StoreRow(key, version, read_object(base64.b64decode(raw["value"])))
     except (KeyError, ValueError, TypeError) as error:
-        return StoreRow(key, version, None, unreadable=f"{type(error).__name__}: {error}")
+        return StoreRow(key, version, None, unreadable_reason=f"{type(error).__name__}: {error}")
 
 
 def _place(row: RowState) -> dict[str, str]:
--- a/mulleinreach/platform/tests/soak/callers.py
+++ b/mulleinreach/platform/tests/soak/callers.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from mulleinreach.gateway.upstream import name_of
+from mulleinreach.gateway.upstream import upstream_name
 from mulleinreach.platform.dialect import (
     DEADLINE_MS,
     MODEL,
@@ -129,7 +129,7 @@
         if SIGNATURE not in headers:
             return
         now = asyncio.get_running_loop().time()
-        told = ToldNotice(gateway.name, name_of(headers[SIGNATURE]), now)
+        told = ToldNotice(gateway.name, upstream_name(headers[SIGNATURE]), now)
         if LEAVING in headers:
             self.told_leaving.append(told)
         if LIMIT in headers:
--- a/mulleinreach/platform/tests/soak/host_app.py
+++ b/mulleinreach/platform/tests/soak/host_app.py
@@ -8,7 +8,7 @@
 from aiohttp import web
 
 from mulleinreach.gateway.ports import Accepted, OrderResult
-from mulleinreach.gateway.upstream import name_of
+from mulleinreach.gateway.upstream import upstream_name
 from mulleinreach.platform.dialect import EXPECT_INSTANCE
 from mulleinreach.platform.tests.standin import row_of
 from mulleinreach.standins.gateway.hosts import HostStandIn
@@ -26,7 +26,7 @@
 
     async def order(request: web.Request) -> web.Response:
         host = cell[0]
-        if request.headers.get(EXPECT_INSTANCE) != name_of(host.id):
+        if request.headers.get(EXPECT_INSTANCE) != upstream_name(host.id):
             return web.Response(status=421)
         body = await request.json()
         if host.late_orders > 0:
@@ -36,7 +36,7 @@
 
     async def report(request: web.Request) -> web.Response:
         host = cell[0]
-        if request.headers.get(EXPECT_INSTANCE) != name_of(host.id):
+        if request.headers.get(EXPECT_INSTANCE) != upstream_name(host.id):
             return web.Response(status=421)
         return web.json_response({**row_of(host.describe()), "pace": host.pace})
 
--- a/mulleinreach/platform/tests/soak/limit_faults.py
+++ b/mulleinreach/platform/tests/soak/limit_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Coroutine, Iterator
 
-from mulleinreach.gateway.upstream import MemberState, name_of
+from mulleinreach.gateway.upstream import MemberState, upstream_name
 from mulleinreach.platform.tests.soak.harmer import Harmer
 
 LIMIT_PER_S = (0.2, 1.2)
@@ -31,7 +31,7 @@
         """Return a head of a group, or a plain upstream."""
         hosts = self._world.fabric.hosts.values()
         serving = [h for h in hosts if h.standing and h.standing.state is MemberState.OPEN]
-        heads = [name_of(host.id) for host in serving if not host.is_dark]
+        heads = [upstream_name(host.id) for host in serving if not host.is_dark]
         plain = [u for u in self._world.plain_upstreams if not self._world.links[u].is_silent]
         kind = self._rng.choice([heads, plain])
         return self._rng.choice(kind) if kind else None
--- a/mulleinreach/platform/tests/soak/notice_faults.py
+++ b/mulleinreach/platform/tests/soak/notice_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Coroutine, Iterator
 
-from mulleinreach.gateway.upstream import name_of
+from mulleinreach.gateway.upstream import upstream_name
 from mulleinreach.platform.tests.soak.harmer import Harmer
 
 # How long rests are, and for how long an upstream turns all requests away.
@@ -27,7 +27,7 @@
         yield kind()
 
     def _some_upstream(self) -> str | None:
-        hosts = [name_of(h.id) for h in self._world.fabric.hosts.values() if not h.is_dark]
+        hosts = [upstream_name(h.id) for h in self._world.fabric.hosts.values() if not h.is_dark]
         plain = [u for u in self._world.plain_upstreams if not self._world.links[u].is_silent]
         kind = self._rng.choice([hosts, plain])
         return self._rng.choice(kind) if kind else None
--- a/mulleinreach/platform/tests/soak/restore_faults.py
+++ b/mulleinreach/platform/tests/soak/restore_faults.py
@@ -6,7 +6,7 @@
 from collections.abc import Coroutine, Iterator
 from dataclasses import replace
 
-from mulleinreach.gateway.upstream import UpstreamState, name_of
+from mulleinreach.gateway.upstream import UpstreamState, upstream_name
 from mulleinreach.platform.tests.soak.harmer import Harmer
 from mulleinreach.platform.tests.soak.notice_faults import SERVES_ON_S
 from mulleinreach.platform.tests.soak.world import Leaving
@@ -75,7 +75,9 @@
 
     def _lapse_silent(self) -> None:
         """Take the rows away that the copy brought back of upstreams that have ended."""
-        hosts = {name_of(host.id) for host in self._world.fabric.hosts.values() if not host.is_dark}
+        hosts = {
+            upstream_name(host.id) for host in self._world.fabric.hosts.values() if not host.is_dark
+        }
         plain = {n for n in self._world.plain_upstreams if not self._world.links[n].is_silent}
         memory = self._world.memory
         for row in memory.rows(UPSTREAMS):
--- a/mulleinreach/platform/tests/soak/world.py
+++ b/mulleinreach/platform/tests/soak/world.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from mulleinreach.common import Address
-from mulleinreach.gateway.upstream import Upstream, UpstreamState, incarnation_id, name_of
+from mulleinreach.gateway.upstream import Upstream, UpstreamState, incarnation_id, upstream_name
 from mulleinreach.platform.dialect import EXPECT_INSTANCE, NOT_EXECUTED, REQUEST_ID, SIGNATURE
 from mulleinreach.platform.sources import CONFIGURATION_KEY, CONFIGURATION_TABLE, EVACUATION_PREFIX
 from mulleinreach.platform.tests.soak.document import (
@@ -235,7 +235,7 @@
 
         In a hall that was lost meanwhile, its row goes instead.
         """
-        name = name_of(host.id)
+        name = upstream_name(host.id)
         if host.upstream.hall in self.lost_halls:
             self.memory.put(UPSTREAMS, name, None)
             return
@@ -263,12 +263,12 @@
 
     def reset_host(self, host: HostStandIn) -> None:
         """Break all connections to a host."""
-        self.resets.append((name_of(host.id), asyncio.get_running_loop().time()))
-        self.links[name_of(host.id)].reset()
+        self.resets.append((upstream_name(host.id), asyncio.get_running_loop().time()))
+        self.links[upstream_name(host.id)].reset()
 
     def end_host(self, host: HostStandIn) -> None:
         """Let a host fall silent for good."""
-        self.links[name_of(host.id)].is_silent = True
+        self.links[upstream_name(host.id)].is_silent = True
         self._ending.append(asyncio.create_task(host.die(LISTED_S)))
 
     async def replace_host(self, host: HostStandIn) -> None:
--- a/mulleinreach/platform/tests/standin.py
+++ b/mulleinreach/platform/tests/standin.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.upstream import Upstream, start_of
+from mulleinreach.gateway.upstream import Upstream, start_time_ms
 from mulleinreach.platform.store import ERA_HEADER
 from mulleinreach.standins.gateway.store import MemoryStore
 
@@ -143,7 +143,7 @@
 def row_of(upstream: Upstream) -> dict:
     """Return an upstream's row as a replica writes it."""
     membership = upstream.membership
-    started_ms = start_of(upstream.id)
+    started_ms = start_time_ms(upstream.id)
     born = {} if started_ms is None else {"born": started_ms}
     return {
         **born,
