--- a/mulleinreach/platform/tests/test_ports.py
+++ b/mulleinreach/platform/tests/test_ports.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from mulleinreach.gateway.model import HeldContent, Inheritance, RouteWait
+from mulleinreach.gateway.model import CallerTimeout, HandoverState, HeldContent
 from mulleinreach.gateway.ports import (
     ConfigurationRead,
     EvacuationRow,
@@ -123,8 +123,10 @@
 @both
 def test_lease_is_written_once_under_its_version(kind):
     async def test(ports):
-        waits = (RouteWait("r", 5.5), RouteWait("s", 0.25))
-        inheritance = Inheritance(waits, held=(HeldContent(2**64 - 1, 3600.0), HeldContent(7, 0.5)))
+        waits = (CallerTimeout("r", 5.5), CallerTimeout("s", 0.25))
+        inheritance = HandoverState(
+            waits, held=(HeldContent(2**64 - 1, 3600.0), HeldContent(7, 0.5))
+        )
         record = LeaseRecord("a.1", "10.0.0.1:1", 1, 0, "secret", inheritance)
         empty = await ports.lease.read()
         assert (empty.version, empty.record) == (0, None)
@@ -237,7 +239,7 @@
         route = configuration.match("h.example", "/a/b")
         assert (route.timeout_s, route.objective_s, route.max_attempts) == (8.0, 0.5, 2)
         assert [(d.service, d.weight) for d in route.destinations] == [("s", 90), ("t", 10)]
-        assert configuration.organisation_of("k").name == "o"
+        assert configuration.organisation_for_key("k").name == "o"
         assert configuration.limits.body_bytes == 1000
 
     run_ports(OnPlatform, test)
@@ -247,13 +249,13 @@
 def test_lease_holds_even_if_what_it_hands_on_can_not_be_read(spoilt):
     async def test(ports):
         record = LeaseRecord(
-            "a.1", "10.0.0.1:1", 4, 0, "secret", Inheritance(held=(HeldContent(7, 60.0),))
+            "a.1", "10.0.0.1:1", 4, 0, "secret", HandoverState(held=(HeldContent(7, 60.0),))
         )
         await ports.lease.write(0, record)
         value = ports.memory.get("mulleinreach", "coordinator").value
         ports.memory.put("mulleinreach", "coordinator", {**value, **spoilt})
         read = await ports.lease.read()
-        assert read.record == replace(record, inheritance=Inheritance())
+        assert read.record == replace(record, inheritance=HandoverState())
 
     run_ports(OnPlatform, test)
 
--- a/mulleinreach/platform/tests/test_settings.py
+++ b/mulleinreach/platform/tests/test_settings.py
@@ -6,7 +6,7 @@
 import pytest
 
 from mulleinreach.common.fields import SettingsError, parse_lines
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.platform.settings import make_settings
 
 COMPLETE = """\
@@ -51,7 +51,7 @@
 def test_complete_settings_are_read():
     settings = make_settings(parse_lines(COMPLETE))
     assert settings.identity.peers.port == 7340
-    assert settings.bounds.key_evidence_s == 4.5
+    assert settings.bounds.max_key_evidence_age_s == 4.5
     assert settings.identity.processor_cores == 1.0
     assert str(settings.store) == "10.200.1.7:8223"
 
@@ -68,16 +68,16 @@
     settings = make_settings(parse_lines(COMPLETE + OPTIONAL))
     bounds = settings.bounds
     assert (bounds.evacuation_s, bounds.cold_ratio, bounds.cold_slack) == (4.0, 1.5, 5.0)
-    assert bounds.halls_at_once == 1
+    assert bounds.max_lost_halls == 1
     assert settings.identity.regions == {"a": "north", "b": "south"}
 
 
 def test_deployment_without_optional_fields_has_the_usual_bounds():
     settings = make_settings(parse_lines(COMPLETE))
-    bounds, usual = settings.bounds, Bounds()
+    bounds, usual = settings.bounds, DeploymentBounds()
     assert bounds.evacuation_s == usual.evacuation_s
     assert (bounds.cold_ratio, bounds.cold_slack) == (usual.cold_ratio, usual.cold_slack)
-    assert bounds.halls_at_once == 0
+    assert bounds.max_lost_halls == 0
     assert settings.identity.regions == {}
 
 
@@ -91,7 +91,7 @@
 
 def test_keys_of_a_lenient_deployment_follow_the_bound_of_configurations():
     bounds = make_settings(parse_lines(LENIENT)).bounds
-    assert bounds.key_evidence_s == pytest.approx(0.9 * (2 + 5))
+    assert bounds.max_key_evidence_age_s == pytest.approx(0.9 * (2 + 5))
     assert bounds.trusts_keys_in_outages
     assert not make_settings(parse_lines(COMPLETE)).bounds.trusts_keys_in_outages
 
--- a/mulleinreach/platform/tests/test_silent_nodes.py
+++ b/mulleinreach/platform/tests/test_silent_nodes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from mulleinreach.common import Address
-from mulleinreach.gateway.deployment import Bounds
+from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.ports import Ports
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.platform.sources import (
@@ -28,7 +28,7 @@
 from mulleinreach.standins.virtual import VirtualNetwork, run_virtual
 
 STORE_ADDRESS = Address("10.9.0.1", 8000)
-BOUNDS = Bounds(leaving_s=3.0, config_s=2.0)
+BOUNDS = DeploymentBounds(leaving_propagation_s=3.0, config_propagation_s=2.0)
 EVERY_ONE, FIRST_HALF, SECOND_HALF = slice(None), slice(0, None, 2), slice(1, None, 2)
 
 
@@ -96,8 +96,8 @@
         leaving.drain()
         configured_s = await world.until(lambda: _all_have_version(world, 2))
         heard_s = configured_s + await world.until(lambda: _all_know_leaving(world, leaving.id))
-        assert configured_s <= BOUNDS.config_s
-        assert heard_s <= BOUNDS.leaving_s
+        assert configured_s <= BOUNDS.config_propagation_s
+        assert heard_s <= BOUNDS.leaving_propagation_s
         assert world.coordinator() == coordinator
 
     run_platform_world(test)
--- a/mulleinreach/platform/tests/test_translation.py
+++ b/mulleinreach/platform/tests/test_translation.py
@@ -19,7 +19,7 @@
     }
     configuration = parse_configuration(raw)
     assert configuration.match("h.example", "/a/").homes == {"north", "south"}
-    assert configuration.organisation_of("k").homes == {"south"}
+    assert configuration.organisation_for_key("k").homes == {"south"}
     services = configuration.services
     assert (services["s"].cold_s, services["s"].cold_per_s) == (8.0, 2.5)
     assert (services["t"].cold_s, services["t"].cold_per_s) == (0.0, 0.0)
@@ -28,7 +28,7 @@
 def test_configuration_without_homes_binds_nobody():
     configuration = parse_configuration(DOCUMENT)
     assert configuration.match("h.example", "/a/").homes is None
-    assert configuration.organisation_of("k").homes is None
+    assert configuration.organisation_for_key("k").homes is None
 
 
 @pytest.mark.parametrize(("told", "cold_s"), [({}, 0.0), ({"cold_remaining_ms": 2500}, 2.5)])
--- a/mulleinreach/standins/gateway/crashes.py
+++ b/mulleinreach/standins/gateway/crashes.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from mulleinreach.common import TaskGroup, VirtualClock
-from mulleinreach.gateway.upstream import MemberState, incarnation_id, name_of
+from mulleinreach.gateway.upstream import MemberState, incarnation_id, upstream_name
 from mulleinreach.standins.gateway.dialect import REQUEST_ID, SIGNATURE
 from mulleinreach.standins.gateway.fabric import Fabric
 from mulleinreach.standins.gateway.hosts import HostStandIn
@@ -95,7 +95,7 @@
             self._links.accept(upstream_id)
             return
         before = host.upstream
-        name = name_of(upstream_id)
+        name = upstream_name(upstream_id)
         if keeps_name:
             started_ms = round(self._clock.wall() * 1000)
             await self._add_host(incarnation_id(name, started_ms), before.domain, before.hall)
--- a/mulleinreach/standins/gateway/dialect.py
+++ b/mulleinreach/standins/gateway/dialect.py
@@ -9,7 +9,7 @@
 from multidict import CIMultiDict, CIMultiDictProxy
 
 from mulleinreach.gateway.ports import CallerHeaders
-from mulleinreach.gateway.upstream import Notice, name_of
+from mulleinreach.gateway.upstream import Notice, upstream_name
 
 REQUEST_ID = "X-Request-Id"
 PRIORITY = "Request-Priority"
@@ -65,7 +65,7 @@
         forwarded = CIMultiDict(headers)
         forwarded.popall("Authorization", None)
         forwarded[DEADLINE_MS] = str(int(remaining_s * 1000))
-        forwarded[EXPECT] = name_of(upstream_id)
+        forwarded[EXPECT] = upstream_name(upstream_id)
         if organisation is not None:
             forwarded[ORGANISATION] = organisation
         if priority is not None:
@@ -92,7 +92,7 @@
         """Whether an answer carries a signature."""
         return SIGNATURE in headers
 
-    def refuse_headers(self, request_id: str | None) -> CIMultiDict[str]:
+    def refusal_headers(self, request_id: str | None) -> CIMultiDict[str]:
         """Return the headers of an answer that the gateway makes itself."""
         return CIMultiDict({} if request_id is None else {REQUEST_ID: request_id})
 
--- a/mulleinreach/standins/gateway/fabric.py
+++ b/mulleinreach/standins/gateway/fabric.py
@@ -7,7 +7,7 @@
 
 from mulleinreach.common import TaskGroup
 from mulleinreach.gateway.ports import Fenced, NoAnswer, OrderResult, Unavailable
-from mulleinreach.gateway.upstream import MemberState, Upstream, name_of
+from mulleinreach.gateway.upstream import MemberState, Upstream, upstream_name
 from mulleinreach.standins.gateway.dialect import HeaderNames
 from mulleinreach.standins.gateway.hosts import LATE_ORDER_S, ORDER_S, HostStandIn, HostTimes
 from mulleinreach.standins.gateway.standings import FabricChecks, Standing
@@ -131,8 +131,8 @@
 
     def running(self, host_id: str) -> HostStandIn:
         """Return the process that answers for a host: its latest start."""
-        name = name_of(host_id)
-        return [h for h in self.hosts.values() if name_of(h.id) == name][-1]
+        name = upstream_name(host_id)
+        return [h for h in self.hosts.values() if upstream_name(h.id) == name][-1]
 
     def _carry_out(self, target: HostStandIn, token: int, action) -> OrderResult:
         if self.requires_fence and not target.admit(token):
--- a/mulleinreach/standins/gateway/hosts.py
+++ b/mulleinreach/standins/gateway/hosts.py
@@ -18,7 +18,7 @@
     MemberState,
     Upstream,
     UpstreamState,
-    name_of,
+    upstream_name,
 )
 from mulleinreach.standins.gateway.dialect import PRIORITY, HeaderNames
 from mulleinreach.standins.gateway.standings import ColdStart, HostFabric, Standing
@@ -208,7 +208,7 @@
         if self.cold_s():
             self._told_cold_at = min(self._told_cold_at, now)
         if not self.is_cut and not self.is_dark:
-            self._fabric.store.put(UPSTREAMS, name_of(self.id), self.describe())
+            self._fabric.store.put(UPSTREAMS, upstream_name(self.id), self.describe())
 
     # Life.
 
@@ -271,7 +271,7 @@
             self.refuses -= 1
             return web.Response(status=503, headers=refusal)
         standing = self.standing
-        is_other = request.headers.get(self._names.expect) != name_of(self.id)
+        is_other = request.headers.get(self._names.expect) != upstream_name(self.id)
         if is_other or standing is None or standing.state is not MemberState.OPEN:
             return web.Response(status=MISDIRECTED, headers=refusal)
         self._fabric.checks.runs.setdefault(request_id, []).append(self.id)
--- a/mulleinreach/standins/gateway/restoring.py
+++ b/mulleinreach/standins/gateway/restoring.py
@@ -6,7 +6,7 @@
 import contextlib
 from collections.abc import AsyncIterator
 
-from mulleinreach.gateway.upstream import name_of
+from mulleinreach.gateway.upstream import upstream_name
 from mulleinreach.standins.gateway.fabric import Fabric
 from mulleinreach.standins.gateway.store import UPSTREAMS, MemoryStore, StoreCopy
 
@@ -60,5 +60,5 @@
 def write_hosts_again(fabric: Fabric) -> None:
     """Let all hosts write what the store's copy lacks, as their next heartbeats do."""
     for host in fabric.hosts.values():
-        if fabric.store.get(UPSTREAMS, name_of(host.id)).value != host.describe():
+        if fabric.store.get(UPSTREAMS, upstream_name(host.id)).value != host.describe():
             host.list_again()
--- a/mulleinreach/standins/gateway/world.py
+++ b/mulleinreach/standins/gateway/world.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from mulleinreach.common import Address, VirtualClock
-from mulleinreach.gateway.deployment import Bounds, GatewayIdentity
+from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.model import (
     Configuration,
     EngineModel,
@@ -58,7 +58,7 @@
     read_tokens_per_s=46_000.0,
     stride=5,
     loads_per_s=4.0,
-    loads_at_once=6,
+    max_concurrent_loads=6,
 )
 
 
@@ -165,7 +165,7 @@
         nodes: int = 2,
         domains: int = 2,
         hosts_per_domain: int = 8,
-        bounds: Bounds | None = None,
+        bounds: DeploymentBounds | None = None,
         halls: int = 1,
         regions: dict[str, str] | None = None,
     ):
@@ -179,7 +179,7 @@
         self._node_names = [f"node-{number}" for number in range(nodes)]
         self._domains = domains
         self.halls = [f"hall-{letter}" for letter in string.ascii_lowercase[:halls]]
-        self._bounds = bounds or Bounds()
+        self._bounds = bounds or DeploymentBounds()
         self._regions = regions or dict.fromkeys(self.halls, "region-1")
         self._hosts_per_domain = hosts_per_domain
         self._listeners: list[tuple[web.Server, asyncio.AbstractServer]] = []
