--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -86,7 +86,7 @@
         granted = self.allocator.allocate(wanted, {UPSTREAM.id: self.limit}, now)
         for number in reachable - lost:
             permits = granted.get(number, [])
-            self.nodes[number].take(permits, now - report_age_s, len(self.nodes))
+            self.nodes[number].receive(permits, now - report_age_s, len(self.nodes))
         waiting, self._waiting = self._waiting, []
         for node, waiting_scope in waiting:
             self._send_if_allowed(node)
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -149,7 +149,7 @@
 
 def test_answer_dates_permits_from_the_report_that_it_answers():
     harness = LimitHarness(2, 5.0)
-    harness.nodes[0].take(
+    harness.nodes[0].receive(
         [PermitCount(UPSTREAM.id, 2)], harness.clock.now() - permit_lifetime_s(5.0), 2
     )
     assert not harness.nodes[0].may_send(UPSTREAM.id)
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -209,7 +209,7 @@
         """
         totals = report.totals
         self._loads.update_totals(totals.loads, own_loads)
-        self._in_force.take_passed(
+        self._in_force.merge_coordinator_evidence(
             totals.configuration_version,
             asked_at - totals.configuration_age_s,
             report.configuration,
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -331,10 +331,10 @@
         in_force, evacuations = node.in_force, node.in_force.evacuations
         dated, later = in_force.evidence_at, world.clock.now() + 100
         older = evacuations.revision - 1
-        in_force.take_passed(in_force.version, later, b"", frozenset(), older)
+        in_force.merge_coordinator_evidence(in_force.version, later, b"", frozenset(), older)
         assert evacuations.halls == {HALL}
         assert in_force.evidence_at == dated
-        in_force.take_passed(in_force.version, later, b"", frozenset({HALL}), older)
+        in_force.merge_coordinator_evidence(in_force.version, later, b"", frozenset({HALL}), older)
         assert in_force.evidence_at == later
 
     run_world(test, halls=3, nodes=1, domains=0)
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -118,12 +118,12 @@
         watch = SuspensionMonitor(
             lambda: suspended_s[0], lambda: {"in_flight": 2}, world.nodes["node-0"].log
         )
-        watch.look()
+        watch.check()
         suspended_s[0] += MIN_LOGGED_SUSPENSION_S / 2
-        watch.look()
+        watch.check()
         suspended_s[0] += 5
-        watch.look()
-        watch.look()
+        watch.check()
+        watch.check()
         [fields] = event_fields(events, "node_woke")
         assert fields == {"suspended_s": pytest.approx(5), "in_flight": 2}
 
