--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -6,11 +6,11 @@
 
 from mulleinreach.groups.formation import allowed_hosts
 from mulleinreach.groups.model import GroupState
-from mulleinreach.groups.planner import Change, FleetPlanner, _free_name, _Round
-from mulleinreach.groups.repair import LoadModel, RepairKind, RepairOption
+from mulleinreach.groups.planner import Change, FleetPlanner, _next_replica_name, _Round
+from mulleinreach.groups.repair import LoadTimeModel, RepairKind, RepairOption
 from mulleinreach.groups.view import FleetView
 
-LOADS = LoadModel(90.0, 16)
+LOADS = LoadTimeModel(90.0, 16)
 
 
 class _BaselineRound(_Round):
@@ -39,7 +39,7 @@
                 found = self._first_fit(service, keep)
                 if found is None:
                     break
-                replica = _free_name(service.name, names)
+                replica = _next_replica_name(service.name, names)
                 names.add(replica)
                 group = self._new_group(replica, service.name, *found, "first fit")
                 rows = tuple(self._member_rows(group))
@@ -69,7 +69,7 @@
             swap = dict(zip(missing, spares, strict=False))
             hosts = tuple(swap.get(name, name) for name in group.hosts)
             option = RepairOption(RepairKind.SPARE, 0, 0, 0, group.domain, hosts)
-            round_._regroup(group, option, "spare: fixed")
+            round_._replace_members(group, option, "spare: fixed")
         round_._fill_first_fit(self._spares)
         return round_.decision
 
--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -21,8 +21,8 @@
         "1",
         "evidence of wholeness ages out",
         "mulleinreach/groups/watch.py",
-        "return self._clock.now() - known.confirmed_at < self._fresh_s",
-        "return known.confirmed_at > NEVER",
+        "return self._clock.now() - status.confirmed_at < self._fresh_s",
+        "return status.confirmed_at > NEVER",
         "tests/test_promise_1_wholeness.py",
     ),
     Breakage(
--- a/benchmarks/repair.py
+++ b/benchmarks/repair.py
@@ -13,7 +13,7 @@
 from benchmarks.baselines import FixedSpares, GreedyFirstFit
 from benchmarks.fleet import DAY_S, HOST_LOAD_S, LOAD_STREAMS, Fleet, make_failures, make_hosts
 from mulleinreach.groups.planner import FleetPlanner
-from mulleinreach.groups.repair import LoadModel
+from mulleinreach.groups.repair import LoadTimeModel
 from mulleinreach.intents import Intent
 
 SERVICES = [("small", 4, 30, 1), ("medium", 8, 12, 1), ("large", 16, 4, 1), ("huge", 32, 2, 1)]
@@ -44,7 +44,7 @@
 def make_planner(name: str):
     """Return a planner by its name in the table."""
     if name == "ours":
-        return FleetPlanner(LoadModel(HOST_LOAD_S, LOAD_STREAMS), frozenset(), 60.0)
+        return FleetPlanner(LoadTimeModel(HOST_LOAD_S, LOAD_STREAMS), frozenset(), 60.0)
     if name.startswith("spares"):
         return FixedSpares(int(name.split()[1]))
     return GreedyFirstFit()
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from mulleinreach.common import Address, rendezvous_rank
-from mulleinreach.groups.watch import ReplicaEvidence
+from mulleinreach.groups.watch import ReplicaStatus
 from mulleinreach.routing import Candidate, Router
 from mulleinreach.routing.replicas import ReplicaLoad
 from mulleinreach.standins.engine_core import (
@@ -94,7 +94,7 @@
     """What one node knows of the replicas."""
 
     loads: dict[str, ReplicaLoad] = field(default_factory=dict)
-    evidence: dict[str, ReplicaEvidence] = field(default_factory=dict)
+    evidence: dict[str, ReplicaStatus] = field(default_factory=dict)
     cached: dict[str, dict[int, None]] = field(default_factory=dict)
 
 
@@ -110,7 +110,7 @@
         for view in self.views:
             for name in self.engines:
                 view.loads[name] = ReplicaLoad()
-                view.evidence[name] = ReplicaEvidence(1, slots=SLOTS)
+                view.evidence[name] = ReplicaStatus(1, slots=SLOTS)
                 view.cached[name] = {}
 
     async def report(self) -> None:
--- a/mulleinreach/evidence.py
+++ b/mulleinreach/evidence.py
@@ -97,7 +97,7 @@
             # A group that our rows don't show yet gets no work from us anyway.
             replica = node.replicas.replica_of(report.epoch)
             if replica is not None:
-                node.wholeness.take(replica, report, asked_at)
+                node.wholeness.record_report(replica, report, asked_at)
         for host in pong.hosts:
             self._take_host(host, asked_at - host.age_ms / 1000)
         node.shares.take_grants(peer, pong.grants, asked_at)
@@ -221,7 +221,7 @@
             in_flight = node.replicas.load_of(group.replica).in_flight
             report = node.watch.report_replica(group, in_flight)
             if report is not None:
-                node.wholeness.take(group.replica, report, now)
+                node.wholeness.record_report(group.replica, report, now)
 
     def _is_unreported(self, host: str) -> bool:
         """Whether no peer has told of a host lately, so that we have to ask or look."""
@@ -230,7 +230,7 @@
 
     def _is_unknown(self, host: str) -> bool:
         """Whether neither a peer nor our own watch has told of a host lately."""
-        own = self._node.watch.sightings.get(host)
+        own = self._node.watch.host_observations.get(host)
         return self._is_unreported(host) and (own is None or self._is_old(own.asked_at))
 
     def _is_old(self, seen_at: float) -> bool:
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -198,12 +198,12 @@
     run_world(test, halls=3, nodes=2, domains=0)
 
 
-async def _serve_halls(world, **scripts) -> dict[str, list[str]]:
+async def _serve_halls(world, **handlers) -> dict[str, list[str]]:
     """Start a plain upstream in each hall; returns the requests that each one sees."""
     plain = {}
     for hall in world.halls:
-        script = scripts.get(hall.replace("-", "_"), echo_path)
-        plain[hall] = await world.add_plain(f"desk-{hall}", script, hall)
+        handler = handlers.get(hall.replace("-", "_"), echo_path)
+        plain[hall] = await world.add_plain(f"desk-{hall}", handler, hall)
     await asyncio.sleep(3)
     return {hall: upstream.seen for hall, upstream in plain.items()}
 
--- a/mulleinreach/groups/controller.py
+++ b/mulleinreach/groups/controller.py
@@ -17,7 +17,12 @@
 
 from mulleinreach.audit import AuditTrail
 from mulleinreach.common import Address, Clock, EventLog, TaskGroup
-from mulleinreach.groups.ledger import OrderLedger, is_order_seen, is_process_gone, is_stopped
+from mulleinreach.groups.ledger import (
+    OrderTracker,
+    has_process_ended,
+    is_latest_order_done,
+    is_stopped,
+)
 from mulleinreach.groups.model import (
     GROUPS_PREFIX,
     HOSTS_PREFIX,
@@ -45,8 +50,8 @@
 
 DUTY = "groups"
 EPOCH_KEY = "state/epoch"
-RESEND_S = 5.0
-DRAIN_SETTLE_S = 3.0
+RESEND_INTERVAL_S = 5.0
+MIN_DRAIN_S = 3.0
 MAX_CHANGES_PER_ROUND = 20
 
 HostReports = Callable[[], dict[str, tuple[HostReport, float]]]
@@ -126,10 +131,10 @@
         self._reports = reports
         self._config = config
         self._lost_after_s = lost_after_s
-        self._ledger = OrderLedger()
+        self._order_tracker = OrderTracker()
         self._tasks = TaskGroup()
         self._sending: set[str] = set()
-        self._held_since: float | None = None
+        self._lease_held_since: float | None = None
         self.notes: dict[str, str] = {}
 
     async def stop(self) -> None:
@@ -144,24 +149,24 @@
     async def tick(self) -> None:
         """Do one round, if we hold the lease."""
         await self._lease.tick()
-        if not self._may_decide():
+        if not self._can_decide():
             return
-        await self._settle()
+        await self._record_resolved_orders()
         if not self._lease.is_held():
             return
         await self._decide()
         self._send_orders()
 
-    def _may_decide(self) -> bool:
+    def _can_decide(self) -> bool:
         """Whether we hold the lease, and have watched long enough to call hosts lost."""
         if not self._lease.is_held():
-            self._held_since = None
+            self._lease_held_since = None
             return False
         now = self._clock.now()
-        if self._held_since is None:
-            self._held_since = now
-            self._ledger = OrderLedger()
-        watched_s = now - self._held_since
+        if self._lease_held_since is None:
+            self._lease_held_since = now
+            self._order_tracker = OrderTracker()
+        watched_s = now - self._lease_held_since
         return self._directory.was_read and watched_s > self._lost_after_s
 
     def view(self) -> FleetView:
@@ -176,9 +181,9 @@
             self._lost_after_s,
         )
 
-    async def _settle(self) -> None:
+    async def _record_resolved_orders(self) -> None:
         """Write down which orders are settled and which hosts are free again."""
-        settled = [self._ledger.settle(host) for host in self.view().hosts.values()]
+        settled = [self._order_tracker.updated_record(host) for host in self.view().hosts.values()]
         rows = [record for record in settled if record is not None]
         if rows:
             await self._commit_rows(rows, [])
@@ -189,14 +194,14 @@
             return
         last_epoch = (self._cache.get(EPOCH_KEY).value or {"last": 0})["last"]
         decision = self._planner.decide(
-            view, last_epoch, self._drained(view), self._lease.epoch, MAX_CHANGES_PER_ROUND
+            view, last_epoch, self._drain_check(view), self._lease.epoch, MAX_CHANGES_PER_ROUND
         )
-        self._note(decision)
+        self._update_notes(decision)
         for change in decision.changes[:MAX_CHANGES_PER_ROUND]:
             if not self._lease.is_held() or not await self._commit(change):
                 return
 
-    def _note(self, decision: Decision) -> None:
+    def _update_notes(self, decision: Decision) -> None:
         for subject, note in decision.notes.items():
             if self.notes.get(subject) != note:
                 self.notes[subject] = note
@@ -204,14 +209,14 @@
             if subject not in decision.notes:
                 del self.notes[subject]
 
-    def _drained(self, view: FleetView) -> Callable[[GroupRecord], bool]:
+    def _drain_check(self, view: FleetView) -> Callable[[GroupRecord], bool]:
         def is_drained(group: GroupRecord) -> bool:
             head = view.hosts.get(group.head)
             if head is None or head.report is None:
                 return False
             waited_s = view.wall - group.since
             # The status must have been asked for after every node stopped sending.
-            settled = waited_s - head.absent_s > DRAIN_SETTLE_S
+            settled = waited_s - head.absent_s > MIN_DRAIN_S
             return settled and head.report.in_flight == 0
 
         return is_drained
@@ -262,32 +267,34 @@
 
     def _needs_order(self, host: HostView) -> bool:
         record = host.record
-        if record.use is HostUse.FREE or host.lost or is_process_gone(host):
+        if record.use is HostUse.FREE or host.lost or has_process_ended(host):
             return False
-        if is_order_seen(host) or (record.use is HostUse.STOPPING and is_stopped(host)):
+        if is_latest_order_done(host) or (record.use is HostUse.STOPPING and is_stopped(host)):
             return False
-        sent_at = self._ledger.sent_at(record)
-        return sent_at is None or self._clock.now() - sent_at > RESEND_S
+        sent_at = self._order_tracker.sent_at(record)
+        return sent_at is None or self._clock.now() - sent_at > RESEND_INTERVAL_S
 
     async def _send_order(self, host: HostView) -> None:
         try:
-            record = await self._prepare_copy(host.record)
+            record = await self._record_resend(host.record)
             if record is None or not self._lease.is_held():
                 return
-            self._ledger.note_sent(record, self._clock.now())
-            order = self._order_of(record)
+            self._order_tracker.record_sent_order(record, self._clock.now())
+            order = self._build_order(record)
             if order is None:
                 return
             address = Address.parse(host.host.address)
             result = await self._engines.order(address, order)
-            self._ledger.note_result(record, result)
+            self._order_tracker.record_order_result(record, result)
             self._log.event("order_sent", host=host.name, order=record.order_id, result=str(result))
         finally:
             self._sending.discard(host.name)
 
-    async def _prepare_copy(self, record: HostRecord) -> HostRecord | None:
+    async def _record_resend(self, record: HostRecord) -> HostRecord | None:
         """Write down that one more copy is sent, where the engine doesn't check epochs."""
-        first_copy = record.sender == self._lease.epoch and self._ledger.sent_at(record) is None
+        first_copy = (
+            record.sender == self._lease.epoch and self._order_tracker.sent_at(record) is None
+        )
         if record.unresolved == 0 or first_copy:
             return record
         copy = replace(
@@ -300,7 +307,7 @@
             return None
         return replace(copy, version=self._cache.get(copy.key).version)
 
-    def _order_of(self, record: HostRecord) -> Order | None:
+    def _build_order(self, record: HostRecord) -> Order | None:
         """Return the order that a row asks for; ``None`` if its group has changed since."""
         if record.use is HostUse.STOPPING:
             return Order(
--- a/mulleinreach/groups/formation.py
+++ b/mulleinreach/groups/formation.py
@@ -18,14 +18,14 @@
 from mulleinreach.groups.view import FleetView, HostView
 from mulleinreach.intents import ServiceIntent
 
-SPREAD_WEIGHT = 4.0
-HALL_WEIGHT = 2.0
-SPARE_WEIGHT = 2.0
+DOMAIN_SPREAD_WEIGHT = 4.0
+HALL_SPREAD_WEIGHT = 2.0
+SPARE_SHORTFALL_WEIGHT = 2.0
 
 
 @dataclass(frozen=True)
-class DomainChoice:
-    """A domain that was weighed; ``cost`` is ``None`` where it has too few hosts."""
+class DomainCandidate:
+    """A domain that was considered; ``cost`` is ``None`` where it has too few hosts."""
 
     domain: str
     free: int
@@ -45,15 +45,15 @@
 
     domain: str
     hosts: tuple[str, ...]
-    weighed: tuple[DomainChoice, ...]
+    considered: tuple[DomainCandidate, ...]
 
 
 @dataclass(frozen=True)
 class Shortage:
-    """No domain can hold the replica; ``short`` is how many hosts the best one lacks."""
+    """No domain can hold the replica; ``needed`` is how many hosts the best one lacks."""
 
-    short: int
-    weighed: tuple[DomainChoice, ...]
+    needed: int
+    considered: tuple[DomainCandidate, ...]
 
 
 def unusable_hosts(free: int, sizes: list[int]) -> int:
@@ -88,37 +88,37 @@
 def place_replica(view: FleetView, service: ServiceIntent) -> Placement | Shortage:
     """Choose the hosts of one more replica of ``service``."""
     by_domain = allowed_hosts(service, view.free_hosts())
-    weighed = tuple(
-        _weigh_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
+    considered = tuple(
+        _evaluate_domain(view, service, domain, by_domain[domain]) for domain in sorted(by_domain)
     )
-    possible = [choice for choice in weighed if choice.cost is not None]
+    possible = [choice for choice in considered if choice.cost is not None]
     if not possible:
-        most = max((choice.free for choice in weighed), default=0)
-        return Shortage(service.hosts_per_replica - most, weighed)
+        most = max((choice.free for choice in considered), default=0)
+        return Shortage(service.hosts_per_replica - most, considered)
     best = min(possible, key=lambda choice: (choice.cost, choice.domain))
-    return Placement(best.domain, best.hosts, weighed)
+    return Placement(best.domain, best.hosts, considered)
 
 
-def _weigh_domain(
+def _evaluate_domain(
     view: FleetView, service: ServiceIntent, domain: str, free: list[HostView]
-) -> DomainChoice:
+) -> DomainCandidate:
     size = service.hosts_per_replica
     if len(free) < size:
-        return DomainChoice(domain, len(free), None)
+        return DomainCandidate(domain, len(free), None)
     own = view.groups_of(service.name)
     in_domain = sum(group.domain == domain for group in own)
     hall = free[0].host.hall
     in_hall = sum(_hall_of(view, group.head) == hall for group in own)
-    spread = SPREAD_WEIGHT * in_domain + HALL_WEIGHT * in_hall
+    spread = DOMAIN_SPREAD_WEIGHT * in_domain + HALL_SPREAD_WEIGHT * in_hall
     sizes = [s.hosts_per_replica for s in view.config.intent.services if s.kind == "model"]
     fragments = unusable_hosts(len(free) - size, sizes) - unusable_hosts(len(free), sizes)
-    wanted = fair_spares(view)
-    short = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
-    cost = spread / max(1, service.replicas) + fragments + SPARE_WEIGHT * short / size
-    return DomainChoice(domain, len(free), cost, pick_hosts(free, size))
+    wanted = spare_hosts_per_domain(view)
+    needed = max(0.0, wanted - (len(free) - size)) - max(0.0, wanted - len(free))
+    cost = spread / max(1, service.replicas) + fragments + SPARE_SHORTFALL_WEIGHT * needed / size
+    return DomainCandidate(domain, len(free), cost, pick_hosts(free, size))
 
 
-def fair_spares(view: FleetView) -> float:
+def spare_hosts_per_domain(view: FleetView) -> float:
     """Return how many hosts a domain keeps free if each has its share of what is left over.
 
     A spare helps only in its own domain, so what the intent leaves over is best
--- a/mulleinreach/groups/model.py
+++ b/mulleinreach/groups/model.py
@@ -81,7 +81,7 @@
         del value["name"], value["version"]
         return value
 
-    def ordered(self, action: str, **changes) -> HostRecord:
+    def with_order(self, action: str, **changes) -> HostRecord:
         """Return this row with a new order in it."""
         changed = replace(self, **changes)
         order_id = f"{changed.replica}@{changed.epoch}/{action}"
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -16,7 +16,7 @@
 from mulleinreach.groups.formation import Placement, Shortage, place_replica
 from mulleinreach.groups.model import GroupRecord, GroupState, HostRecord, HostUse
 from mulleinreach.groups.repair import (
-    LoadModel,
+    LoadTimeModel,
     RepairKind,
     RepairOption,
     RepairPlanner,
@@ -27,7 +27,7 @@
 from mulleinreach.intents import ServiceIntent
 
 UNLIMITED = 1_000_000
-MAX_WHY_CHARS = 2_000
+MAX_REASON_CHARS = 2_000
 
 
 @dataclass(frozen=True)
@@ -64,10 +64,10 @@
     """Forms, repairs, drains and dissolves groups so that they fit the intent."""
 
     def __init__(
-        self, loads: LoadModel, unchecked_domains: frozenset[str], drain_deadline_s: float
+        self, loads: LoadTimeModel, unchecked_domains: frozenset[str], drain_deadline_s: float
     ):
         self._repairs = RepairPlanner(loads)
-        self._unchecked = unchecked_domains
+        self._unchecked_domains = unchecked_domains
         self._drain_deadline_s = drain_deadline_s
 
     def decide(
@@ -76,7 +76,7 @@
         epoch: int,
         is_drained: Callable[[GroupRecord], bool],
         lease_epoch: int,
-        most_changes: int = UNLIMITED,
+        max_changes: int = UNLIMITED,
     ) -> Decision:
         """Return the next changes.
 
@@ -86,14 +86,14 @@
         epoch : the last epoch in use; each new group gets a higher one.
         is_drained : tells whether a draining group has no work in flight.
         lease_epoch : the epoch of the lease under which orders will be sent.
-        most_changes : where to stop, so that a round stays short; the next goes on.
+        max_changes : where to stop, so that a round stays short; the next goes on.
         """
         round_ = _Round(self, view, epoch, lease_epoch)
         for group in sorted(view.groups, key=round_.urgency):
-            round_.tend(group, is_drained)
+            round_.update_group(group, is_drained)
         services = [s for s in view.config.intent.services if s.kind == "model"]
         for service in sorted(services, key=lambda s: (s.priority, s.name)):
-            round_.fill(service, most_changes)
+            round_.form_missing_replicas(service, max_changes)
         return round_.decision
 
 
@@ -105,7 +105,7 @@
         self._view = view
         self._epoch = epoch
         self._lease_epoch = lease_epoch
-        self._busy = loading_hosts(view)
+        self._loading_hosts = loading_hosts(view)
         self._surplus = self._find_surplus()
         self.decision = Decision()
 
@@ -120,10 +120,10 @@
         rate += weights.stranded_accelerators * (len(group.hosts) - lost)
         return (-rate / lost, group.replica)
 
-    def tend(self, group: GroupRecord, is_drained) -> None:
+    def update_group(self, group: GroupRecord, is_drained) -> None:
         """Decide about a group that exists."""
         view = self._view
-        if group.replica in view.taken:
+        if group.replica in view.reserved_names:
             return
         lost = view.lost_members(group)
         service = view.config.intent.service(group.service)
@@ -131,15 +131,15 @@
             self._dissolve(group, "its service was removed and a member is lost")
         elif group.state is GroupState.DRAINING:
             self._finish_drain(group, lost, is_drained)
-        elif lost and view.is_condemned(group):
+        elif lost and view.needs_replacement(group):
             self._dissolve(group, f"lost {', '.join(lost)} while it was to be replaced")
         elif lost:
             self._repair(group, lost)
         elif group.state is GroupState.LOADING and view.is_ready(group):
             serving = replace(group, state=GroupState.SERVING)
             self._add(Change("serve", group.replica, "all members are ready", group=serving))
-        elif view.is_condemned(group) or self._is_surplus(group):
-            self._condemn(group)
+        elif view.needs_replacement(group) or self._is_surplus(group):
+            self._drain_when_replaceable(group)
 
     def _finish_drain(self, group: GroupRecord, lost: list[str], is_drained) -> None:
         waited_s = self._view.wall - group.since
@@ -151,21 +151,21 @@
             self._dissolve(group, f"drained for {waited_s:.0f} s, its deadline")
 
     def _repair(self, group: GroupRecord, lost: list[str]) -> None:
-        options = self._planner._repairs.weigh_group(self._view, group, self._busy)
-        weighed = "; ".join(option.explain() for option in options)
-        why = f"lost {', '.join(lost)}; {weighed}"
+        options = self._planner._repairs.options_for_group(self._view, group, self._loading_hosts)
+        considered = "; ".join(option.explain() for option in options)
+        why = f"lost {', '.join(lost)}; {considered}"
         self.decision.notes[group.replica] = why
         if options and options[0].kind is not RepairKind.WAIT:
-            self._regroup(group, options[0], f"{options[0].kind}: {why}")
+            self._replace_members(group, options[0], f"{options[0].kind}: {why}")
 
-    def _regroup(self, group: GroupRecord, option: RepairOption, why: str) -> None:
+    def _replace_members(self, group: GroupRecord, option: RepairOption, why: str) -> None:
         new_group = self._new_group(
             group.replica, group.service, option.domain, option.hosts, why, group.version
         )
         hosts = self._stop_rows(group, set(option.hosts))
-        self._carry_out("repair", new_group, option, why, hosts)
+        self._add_assembled_group("repair", new_group, option, why, hosts)
 
-    def _carry_out(
+    def _add_assembled_group(
         self,
         action: str,
         new_group: GroupRecord,
@@ -188,29 +188,29 @@
                 hosts=tuple(hosts),
             )
         )
-        self._busy += len(option.hosts)
+        self._loading_hosts += len(option.hosts)
 
-    def _condemn(self, group: GroupRecord) -> None:
+    def _drain_when_replaceable(self, group: GroupRecord) -> None:
         """Drain a group once what replaces it serves, or can't be formed anyway."""
         view = self._view
         service = view.config.intent.service(group.service)
         if service is not None and not self._is_surplus(group):
-            others = [g for g in view.groups_of(group.service) if not view.is_condemned(g)]
+            others = [g for g in view.groups_of(group.service) if not view.needs_replacement(g)]
             serving = sum(g.state is GroupState.SERVING for g in others)
             can_replace = isinstance(place_replica(view, service), Placement)
             if serving < service.replicas and (can_replace or len(others) > serving):
                 return
             draining = any(
-                g.state is GroupState.DRAINING or g.replica in view.taken
+                g.state is GroupState.DRAINING or g.replica in view.reserved_names
                 for g in view.groups_of(group.service)
             )
             if serving < service.replicas and draining:
                 return
-        why = self._condemned_because(group)
+        why = self._drain_reason(group)
         draining_group = replace(group, state=GroupState.DRAINING, since=view.wall, why=why)
         self._add(Change("drain", group.replica, why, group=draining_group))
 
-    def _condemned_because(self, group: GroupRecord) -> str:
+    def _drain_reason(self, group: GroupRecord) -> str:
         leaving = [n for n in group.hosts if n in self._view.hosts and self._view.hosts[n].leaving]
         if leaving:
             return f"{', '.join(leaving)} is leaving"
@@ -226,61 +226,67 @@
 
     def _find_surplus(self) -> set[str]:
         """Return the replicas beyond what their services want, and those of removed ones."""
-        staying: dict[str, list[str]] = {}
+        remaining: dict[str, list[str]] = {}
         surplus = set()
         for group in self._view.groups:
             if self._view.config.intent.service(group.service) is None:
                 surplus.add(group.replica)
-            elif not self._view.is_condemned(group):
-                staying.setdefault(group.service, []).append(group.replica)
-        for name, replicas in staying.items():
+            elif not self._view.needs_replacement(group):
+                remaining.setdefault(group.service, []).append(group.replica)
+        for name, replicas in remaining.items():
             wanted = self._view.config.intent.service(name).replicas
-            surplus.update(sorted(replicas, key=_replica_order)[wanted:])
+            surplus.update(sorted(replicas, key=_replica_sort_key)[wanted:])
         return surplus
 
-    def fill(self, service: ServiceIntent, most_changes: int = UNLIMITED) -> None:
+    def form_missing_replicas(self, service: ServiceIntent, max_changes: int = UNLIMITED) -> None:
         """Form the replicas that a service lacks."""
         view = self._view
-        staying = [g for g in view.groups_of(service.name) if not view.is_condemned(g)]
-        held = len(staying)
-        while held < service.replicas and len(self.decision.changes) < most_changes:
+        remaining = [g for g in view.groups_of(service.name) if not view.needs_replacement(g)]
+        replica_count = len(remaining)
+        while replica_count < service.replicas and len(self.decision.changes) < max_changes:
             placement = place_replica(view, service)
-            weighed = "; ".join(choice.explain() for choice in placement.weighed)
+            considered = "; ".join(choice.explain() for choice in placement.considered)
             if isinstance(placement, Shortage):
-                if not self._assemble_missing(service):
-                    self._note_shortage(service, placement, weighed)
+                if not self._form_with_victims(service):
+                    self._note_shortage(service, placement, considered)
                     return
             else:
-                why = f"{service.name} wants {service.replicas}, has {held}; {weighed}"
+                why = f"{service.name} wants {service.replicas}, has {replica_count}; {considered}"
                 group = self._new_group(
-                    self._free_name(service), service.name, placement.domain, placement.hosts, why
+                    self._next_replica_name(service),
+                    service.name,
+                    placement.domain,
+                    placement.hosts,
+                    why,
                 )
                 rows = tuple(self._member_rows(group))
                 self._add(Change("form", group.replica, why, group=group, hosts=rows))
-            held += 1
+            replica_count += 1
 
-    def _assemble_missing(self, service: ServiceIntent) -> bool:
+    def _form_with_victims(self, service: ServiceIntent) -> bool:
         """Form a replica out of free hosts and victims, if that costs less than waiting."""
-        options = self._planner._repairs.weigh_missing(self._view, service, self._busy)
+        options = self._planner._repairs.options_for_missing_replica(
+            self._view, service, self._loading_hosts
+        )
         best = options[0]
         if best.kind is RepairKind.WAIT:
             return False
         why = "; ".join(option.explain() for option in options)
         group = self._new_group(
-            self._free_name(service), service.name, best.domain, best.hosts, why
+            self._next_replica_name(service), service.name, best.domain, best.hosts, why
         )
-        self._carry_out("form", group, best, why, [])
+        self._add_assembled_group("form", group, best, why, [])
         return True
 
-    def _note_shortage(self, service: ServiceIntent, shortage: Shortage, weighed: str) -> None:
+    def _note_shortage(self, service: ServiceIntent, shortage: Shortage, considered: str) -> None:
         self.decision.notes[service.name] = (
-            f"{service.name} lacks replicas: {shortage.short} more hosts needed in one"
-            f" domain; {weighed}"
+            f"{service.name} lacks replicas: {shortage.needed} more hosts needed in one"
+            f" domain; {considered}"
         )
 
-    def _free_name(self, service: ServiceIntent) -> str:
-        taken = {group.replica for group in self._view.groups} | self._view.taken
-        return _free_name(service.name, taken)
+    def _next_replica_name(self, service: ServiceIntent) -> str:
+        reserved_names = {group.replica for group in self._view.groups} | self._view.reserved_names
+        return _next_replica_name(service.name, reserved_names)
 
     def _new_group(self, replica, service_name, domain, hosts, why, version=0) -> GroupRecord:
         service = self._view.config.intent.service(service_name)
@@ -295,7 +301,7 @@
             model_version=service.version,
             adapters=tuple(service.adapters),
             state=GroupState.LOADING,
-            why=why[:MAX_WHY_CHARS],
+            why=why[:MAX_REASON_CHARS],
             since=self._view.wall,
             version=version,
         )
@@ -316,13 +322,13 @@
 
     def _order(self, name: str, use: HostUse, replica: str, epoch: int) -> HostRecord:
         view = self._view.hosts[name]
-        unchecked = view.host.domain in self._planner._unchecked
+        unchecked = view.host.domain in self._planner._unchecked_domains
         action = "load" if use is HostUse.MEMBER else "stop"
         incarnation = view.report.incarnation if view.report else view.record.incarnation
         # Copies that were meant for an earlier process can't reach this one.
         same_process = incarnation == view.record.incarnation
         before = view.record.unresolved if same_process else 0
-        return view.record.ordered(
+        return view.record.with_order(
             action,
             use=use,
             replica=replica,
@@ -339,9 +345,9 @@
 
     def _add(self, change: Change) -> None:
         self.decision.changes.append(change)
-        self._view.taken.update(row.name for row in change.hosts)
-        self._view.taken.add(change.subject)
-        self._view.taken.update(group.replica for group in change.removed)
+        self._view.reserved_names.update(row.name for row in change.hosts)
+        self._view.reserved_names.add(change.subject)
+        self._view.reserved_names.update(group.replica for group in change.removed)
         gone = {group.replica for group in change.removed}
         if gone:
             self._view.groups[:] = [g for g in self._view.groups if g.replica not in gone]
@@ -355,13 +361,13 @@
         return self._epoch
 
 
-def _free_name(service: str, taken: set[str]) -> str:
+def _next_replica_name(service: str, reserved_names: set[str]) -> str:
     number = 1
-    while f"{service}-{number}" in taken:
+    while f"{service}-{number}" in reserved_names:
         number += 1
     return f"{service}-{number}"
 
 
-def _replica_order(replica: str) -> tuple[int, str]:
+def _replica_sort_key(replica: str) -> tuple[int, str]:
     _, _, number = replica.rpartition("-")
     return (int(number) if number.isdigit() else 0, replica)
--- a/mulleinreach/groups/tests/test_repair.py
+++ b/mulleinreach/groups/tests/test_repair.py
@@ -7,13 +7,13 @@
 from mulleinreach.groups.formation import Placement, Shortage, place_replica
 from mulleinreach.groups.model import GroupRecord, GroupState, HostRecord, HostUse
 from mulleinreach.groups.planner import FleetPlanner
-from mulleinreach.groups.repair import LoadModel, RepairKind, RepairPlanner
+from mulleinreach.groups.repair import LoadTimeModel, RepairKind, RepairPlanner
 from mulleinreach.groups.view import FleetView, HostView
 from mulleinreach.intents import ConfigDocument, Intent
 from mulleinreach.roster.messages import HostReport
 from mulleinreach.stores import Host, HostKind
 
-LOADS = LoadModel(host_load_s=90.0, streams=16)
+LOADS = LoadTimeModel(host_load_s=90.0, parallel_loads=16)
 
 
 def service(name, hosts, replicas, priority=1):
@@ -80,7 +80,7 @@
         return FleetView(0.0, 0.0, self.config, dict(self.hosts), list(self.groups))
 
     def best(self, group):
-        return RepairPlanner(LOADS).weigh_group(self.view(), group, 0)[0]
+        return RepairPlanner(LOADS).options_for_group(self.view(), group, 0)[0]
 
 
 def names(domain, start, stop):
@@ -107,7 +107,7 @@
     fleet = Fleet([service("s", 4, 1)], {"a": 4})
     group = fleet.group("s-1", "s", names("a", 0, 4))
     fleet.restart("a01")
-    options = RepairPlanner(LOADS).weigh_group(fleet.view(), group, 0)
+    options = RepairPlanner(LOADS).options_for_group(fleet.view(), group, 0)
     assert [option.kind for option in options] == [RepairKind.REJOIN]
 
 
@@ -194,7 +194,7 @@
     fleet = Fleet([service("s", 16, 1)], {"a": 6, "b": 4})
     placement = place_replica(fleet.view(), fleet.config.intent.service("s"))
     assert isinstance(placement, Shortage)
-    assert placement.short == 10
+    assert placement.needed == 10
 
 
 def test_a_replica_goes_into_as_few_racks_as_it_can():
--- a/mulleinreach/groups/view.py
+++ b/mulleinreach/groups/view.py
@@ -57,11 +57,13 @@
     config: ConfigDocument
     hosts: dict[str, HostView]
     groups: list[GroupRecord]
-    taken: set[str] = field(default_factory=set)
+    reserved_names: set[str] = field(default_factory=set)
 
     def free_hosts(self) -> list[HostView]:
         """Return the hosts that a new group may take, in name order."""
-        free = [h for h in self.hosts.values() if h.is_available and h.name not in self.taken]
+        free = [
+            h for h in self.hosts.values() if h.is_available and h.name not in self.reserved_names
+        ]
         return sorted(free, key=lambda h: h.name)
 
     def groups_of(self, service: str) -> list[GroupRecord]:
@@ -98,7 +100,7 @@
         held = (group.model, group.model_version, group.adapters)
         return wanted != held or service.hosts_per_replica != len(group.hosts)
 
-    def is_condemned(self, group: GroupRecord) -> bool:
+    def needs_replacement(self, group: GroupRecord) -> bool:
         """Whether a group should make way for another one, in order."""
         if group.state is GroupState.DRAINING or self.is_outdated(group):
             return True
--- a/mulleinreach/groups/watch.py
+++ b/mulleinreach/groups/watch.py
@@ -3,7 +3,7 @@
 Explanation
 ===========
 
-Each replica is watched by ``WATCHERS`` nodes, chosen by rendezvous hashing over
+Each replica is watched by ``WATCHERS_PER_REPLICA`` nodes, chosen by rendezvous hashing over
 the nodes that answer. A watcher asks every member for its status, one task for
 each host. What a status says is dated from before it was asked for.
 """
@@ -19,12 +19,12 @@
 from mulleinreach.orders import EngineClient, EngineStatus
 from mulleinreach.roster.messages import HostReport, ReplicaReport
 
-WATCHERS = 2
+WATCHERS_PER_REPLICA = 2
 NEVER = float("-inf")
 
 
 @dataclass(frozen=True)
-class Sighting:
+class StatusObservation:
     """A status, and the monotonic time before which it was asked for."""
 
     status: EngineStatus
@@ -36,7 +36,7 @@
     return status.replica == replica and status.epoch == epoch and status.state == "ready"
 
 
-class HostWatch:
+class HostPoller:
     """Asks hosts for their status; one task for each host that this node watches."""
 
     def __init__(
@@ -53,43 +53,43 @@
         self._interval_s = interval_s
         self._on_broken = on_broken
         self._tasks = TaskGroup()
-        self._pollers: dict[str, asyncio.Task] = {}
+        self._poll_tasks: dict[str, asyncio.Task] = {}
         self._addresses: dict[str, Address] = {}
         self._groups: dict[str, GroupRecord] = {}
-        self._told_broken: dict[str, int] = {}
-        self.sightings: dict[str, Sighting] = {}
+        self._last_reported_epoch: dict[str, int] = {}
+        self.host_observations: dict[str, StatusObservation] = {}
 
     def assign(self, addresses: dict[str, Address], groups: list[GroupRecord]) -> None:
         """Watch exactly the hosts in ``addresses``; ``groups`` are those that we report."""
         self._groups = {host: group for group in groups for host in group.hosts}
-        for host in list(self._pollers):
+        for host in list(self._poll_tasks):
             if addresses.get(host) != self._addresses.get(host):
-                self._pollers.pop(host).cancel()
-                self.sightings.pop(host, None)
+                self._poll_tasks.pop(host).cancel()
+                self.host_observations.pop(host, None)
         self._addresses = dict(addresses)
         for host in addresses:
-            if host not in self._pollers:
-                self._pollers[host] = self._tasks.spawn(self._poll(host))
+            if host not in self._poll_tasks:
+                self._poll_tasks[host] = self._tasks.spawn(self._poll(host))
 
     async def _poll(self, host: str) -> None:
         while True:
             asked_at = self._clock.now()
             status = await self._engines.status(self._addresses[host], host)
             if status is not None:
-                self._take(host, Sighting(status, asked_at))
+                self._record_observation(host, StatusObservation(status, asked_at))
             await asyncio.sleep(self._interval_s)
 
-    def _take(self, host: str, sighting: Sighting) -> None:
-        before = self.sightings.get(host)
-        self.sightings[host] = sighting
+    def _record_observation(self, host: str, sighting: StatusObservation) -> None:
+        previous = self.host_observations.get(host)
+        self.host_observations[host] = sighting
         group = self._groups.get(host)
-        if group is None or before is None:
+        if group is None or previous is None:
             return
-        was_ready = is_member_ready(before.status, group.replica, group.epoch)
+        was_ready = is_member_ready(previous.status, group.replica, group.epoch)
         is_ready = is_member_ready(sighting.status, group.replica, group.epoch)
-        is_new = self._told_broken.get(group.replica, 0) < group.epoch
+        is_new = self._last_reported_epoch.get(group.replica, 0) < group.epoch
         if was_ready and not is_ready and is_new:
-            self._told_broken[group.replica] = group.epoch
+            self._last_reported_epoch[group.replica] = group.epoch
             self._on_broken(group, f"{host} is no longer ready in epoch {group.epoch}")
 
     async def stop(self) -> None:
@@ -99,20 +99,20 @@
     def report_hosts(self) -> list[HostReport]:
         """Return what is known of each watched host."""
         now = self._clock.now()
-        return [_report_host(s, now) for s in self.sightings.values()]
+        return [_report_host(s, now) for s in self.host_observations.values()]
 
     def report_replica(self, group: GroupRecord, sent: int) -> ReplicaReport | None:
-        """Return what is known of a group, or ``None`` while a member was never seen."""
-        sightings = [self.sightings.get(host) for host in group.hosts]
-        if any(sighting is None for sighting in sightings):
+        """Return what is status of a group, or ``None`` while a member was never seen."""
+        host_observations = [self.host_observations.get(host) for host in group.hosts]
+        if any(sighting is None for sighting in host_observations):
             return None
         now = self._clock.now()
-        head = sightings[0].status
-        ready = [is_member_ready(s.status, group.replica, group.epoch) for s in sightings]
+        head = host_observations[0].status
+        ready = [is_member_ready(s.status, group.replica, group.epoch) for s in host_observations]
         return ReplicaReport(
             epoch=group.epoch,
             whole=all(ready),
-            age_ms=int(1000 * (now - min(s.asked_at for s in sightings))),
+            age_ms=int(1000 * (now - min(s.asked_at for s in host_observations))),
             running=head.running,
             waiting=head.waiting,
             slots=head.slots,
@@ -120,7 +120,7 @@
         )
 
 
-def _report_host(sighting: Sighting, now: float) -> HostReport:
+def _report_host(sighting: StatusObservation, now: float) -> HostReport:
     status = sighting.status
     return HostReport(
         host=status.host,
@@ -143,11 +143,11 @@
     >>> len(watchers_of("tint-model-1", ["a", "b", "c"]))
     2
     """
-    return rendezvous_rank(key, nodes)[:WATCHERS]
+    return rendezvous_rank(key, nodes)[:WATCHERS_PER_REPLICA]
 
 
 @dataclass
-class ReplicaEvidence:
+class ReplicaStatus:
     """What a node knows of a replica; times on its own monotonic clock."""
 
     epoch: int
@@ -158,7 +158,7 @@
     reported_at: float = NEVER
 
 
-class WholenessView:
+class ReplicaHealthTracker:
     """Which replicas are known, by fresh evidence, to be whole.
 
     Explanation
@@ -168,58 +168,58 @@
     evidence that was asked for before the withdrawal came.
     """
 
-    def __init__(self, clock: Clock, fresh_s: float):
+    def __init__(self, clock: Clock, max_age_s: float):
         self._clock = clock
-        self._fresh_s = fresh_s
-        self._evidence: dict[str, ReplicaEvidence] = {}
+        self._fresh_s = max_age_s
+        self._statuses: dict[str, ReplicaStatus] = {}
         self._withdrawn_at: dict[str, tuple[int, float]] = {}
 
-    def take(self, replica: str, report: ReplicaReport, asked_at: float) -> None:
+    def record_report(self, replica: str, report: ReplicaReport, asked_at: float) -> None:
         """Take in a report on ``replica`` whose answer was asked for at ``asked_at``."""
-        known = self._evidence.get(replica)
-        if known is None or report.epoch > known.epoch:
-            known = self._evidence[replica] = ReplicaEvidence(report.epoch)
-        if report.epoch < known.epoch:
+        status = self._statuses.get(replica)
+        if status is None or report.epoch > status.epoch:
+            status = self._statuses[replica] = ReplicaStatus(report.epoch)
+        if report.epoch < status.epoch:
             return
         confirmed_at = asked_at - report.age_ms / 1000
-        if report.whole and not self._is_void(replica, report.epoch, confirmed_at):
-            known.confirmed_at = max(known.confirmed_at, confirmed_at)
-        if asked_at >= known.reported_at:
-            known.running, known.waiting = report.running, report.waiting
-            known.slots, known.reported_at = report.slots, asked_at
+        if report.whole and not self._is_invalidated(replica, report.epoch, confirmed_at):
+            status.confirmed_at = max(status.confirmed_at, confirmed_at)
+        if asked_at >= status.reported_at:
+            status.running, status.waiting = report.running, report.waiting
+            status.slots, status.reported_at = report.slots, asked_at
 
-    def _is_void(self, replica: str, epoch: int, confirmed_at: float) -> bool:
+    def _is_invalidated(self, replica: str, epoch: int, confirmed_at: float) -> bool:
         withdrawn, at = self._withdrawn_at.get(replica, (0, NEVER))
         return epoch <= withdrawn and confirmed_at <= at
 
     def withdraw(self, replica: str, epoch: int) -> bool:
         """Void the evidence of a replica up to ``epoch``; returns whether that is news."""
-        is_news = self._withdrawn_at.get(replica, (0, NEVER))[0] < epoch
+        is_new = self._withdrawn_at.get(replica, (0, NEVER))[0] < epoch
         self._withdrawn_at[replica] = (epoch, self._clock.now())
-        known = self._evidence.get(replica)
-        if known is not None and known.epoch <= epoch:
-            known.confirmed_at = NEVER
-        return is_news
+        status = self._statuses.get(replica)
+        if status is not None and status.epoch <= epoch:
+            status.confirmed_at = NEVER
+        return is_new
 
     def is_whole(self, replica: str, epoch: int) -> bool:
         """Whether the group (replica, epoch) may be sent work at this moment."""
-        known = self._evidence.get(replica)
-        if known is None or known.epoch != epoch:
+        status = self._statuses.get(replica)
+        if status is None or status.epoch != epoch:
             return False
-        return self._clock.now() - known.confirmed_at < self._fresh_s
+        return self._clock.now() - status.confirmed_at < self._fresh_s
 
-    def evidence(self, replica: str) -> ReplicaEvidence | None:
+    def evidence(self, replica: str) -> ReplicaStatus | None:
         """Return what is known of a replica, for routing and explanations."""
-        return self._evidence.get(replica)
+        return self._statuses.get(replica)
 
     def age_s(self, replica: str) -> float:
         """Return the age of the latest confirmation in seconds, infinite without one."""
-        known = self._evidence.get(replica)
-        return self._clock.now() - known.confirmed_at if known else float("inf")
+        status = self._statuses.get(replica)
+        return self._clock.now() - status.confirmed_at if status else float("inf")
 
     def keep_only(self, replicas: set[str]) -> None:
         """Forget replicas that are in no group any more."""
-        for name in list(self._evidence):
+        for name in list(self._statuses):
             if name not in replicas:
-                del self._evidence[name]
+                del self._statuses[name]
                 self._withdrawn_at.pop(name, None)
--- a/mulleinreach/intents/preview.py
+++ b/mulleinreach/intents/preview.py
@@ -22,7 +22,7 @@
     if problems:
         raise MulleinreachError(Code.UNSATISFIABLE, "; ".join(problems))
     lines = _describe_settings(view.config, document)
-    trial = replace(view, config=document, taken=set(), hosts=_with_drains(view, document))
+    trial = replace(view, config=document, reserved_names=set(), hosts=_with_drains(view, document))
     decision = planner.decide(trial, 0, lambda group: False, 0)
     for change in decision.changes:
         where = ""
@@ -101,7 +101,7 @@
             if isinstance(placement, Shortage):
                 problems.append(_describe_shortage(trial, service, placed, placement))
                 break
-            trial.taken.update(placement.hosts)
+            trial.reserved_names.update(placement.hosts)
             placed += 1
     return problems
 
@@ -112,5 +112,5 @@
     return (
         f"{service.name}: {placed} of {service.replicas} replicas fit;"
         f" the other {missing} need {missing * service.hosts_per_replica} hosts in domains of"
-        f" {service.hosts_per_replica}, {free} are left, the fullest domain lacks {shortage.short}"
+        f" {service.hosts_per_replica}, {free} are left, the fullest domain lacks {shortage.needed}"
     )
--- a/mulleinreach/node.py
+++ b/mulleinreach/node.py
@@ -18,8 +18,8 @@
 from mulleinreach.groups.controller import DUTY, GroupController
 from mulleinreach.groups.model import GroupState
 from mulleinreach.groups.planner import FleetPlanner
-from mulleinreach.groups.repair import LoadModel
-from mulleinreach.groups.watch import HostWatch, WholenessView
+from mulleinreach.groups.repair import LoadTimeModel
+from mulleinreach.groups.watch import HostPoller, ReplicaHealthTracker
 from mulleinreach.housekeeping import Housekeeping
 from mulleinreach.intents import ConfigInForce
 from mulleinreach.intents.plan import PlanStore
@@ -121,7 +121,7 @@
         self.keys = KeyTable()
         self.shares = ShareLimits(self.name, self.clock, timing.clock_rate_error)
         self.force.listeners += [self.keys.follow, self.shares.follow]
-        self.wholeness = WholenessView(self.clock, timing.whole_fresh_s)
+        self.wholeness = ReplicaHealthTracker(self.clock, timing.whole_fresh_s)
         self.replicas = ReplicaTable(
             self.cache,
             self.directory,
@@ -171,7 +171,7 @@
 
     def _make_control(self) -> None:
         timing, engines = self.settings.timing, self.settings.engines
-        self.watch = HostWatch(
+        self.watch = HostPoller(
             self.engines, self.clock, self.log, timing.host_poll_s, self._on_broken
         )
         self.evidence = Evidence(self)
@@ -191,7 +191,7 @@
             timing.peer_ping_s,
             timing.evidence_fresh_s,
         )
-        loads = LoadModel(engines.host_load_s, engines.load_streams)
+        loads = LoadTimeModel(engines.host_load_s, engines.load_streams)
         planner = FleetPlanner(loads, frozenset(engines.unchecked_domains), timing.drain_deadline_s)
         self.lease = self._make_lease(DUTY)
         self.controller = GroupController(
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -7,7 +7,7 @@
 
 from mulleinreach.common import Address, Clock
 from mulleinreach.groups.model import GROUPS_PREFIX, GroupRecord, GroupState
-from mulleinreach.groups.watch import ReplicaEvidence, WholenessView
+from mulleinreach.groups.watch import ReplicaHealthTracker, ReplicaStatus
 from mulleinreach.stores import HostDirectory, TableCache
 
 EJECT_MIN_S = 0.5
@@ -42,7 +42,7 @@
         """Requests of this node that the replica works on."""
         return self.sent - self.finished
 
-    def estimate(self, evidence: ReplicaEvidence) -> float:
+    def estimate(self, evidence: ReplicaStatus) -> float:
         """Return the requests at the replica: as reported, and what we did since."""
         if evidence.reported_at > self.reported_at:
             self.reported_at = evidence.reported_at
@@ -85,7 +85,7 @@
         self,
         cache: TableCache,
         directory: HostDirectory,
-        wholeness: WholenessView,
+        wholeness: ReplicaHealthTracker,
         clock: Clock,
         leaving_hosts: Callable[[], set[str]],
         count_nodes: Callable[[], int],
