--- a/mulleinreach/gateway/coordination/messages.py
+++ b/mulleinreach/gateway/coordination/messages.py
@@ -93,7 +93,7 @@
     rows = message.init("limits", len(limits))
     for row, limit in zip(rows, limits, strict=True):
         row.upstream, row.perS = limit.upstream_id, limit.per_s
-        row.agoMs = _milliseconds(limit.ago_s)
+        row.agoMs = _milliseconds(limit.age_s)
 
 
 def _unpack_limits(rows) -> tuple[NamedLimit, ...]:
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -97,7 +97,7 @@
             evacuated=sorted(self._in_force.evacuations.halls),
             operator_revision=self._in_force.evacuations.revision,
             held=self._crashes.held(),
-            limits=self._permits.limits.named(),
+            limits=self._permits.limits.known_limits(),
         )
 
     def changes_since(self, revision: int) -> list[ListChange] | None:
@@ -140,7 +140,7 @@
 
     def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Merge another node's observations of requests during which upstreams ended."""
-        self._crashes.take(sightings)
+        self._crashes.merge_observations(sightings)
 
     def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
         """Return the upstream limits that the coordinator doesn't know yet.
--- a/mulleinreach/gateway/known/tests/test_homes.py
+++ b/mulleinreach/gateway/known/tests/test_homes.py
@@ -23,10 +23,11 @@
     """Return a configuration that restricts regions; an empty set means no restriction."""
     configuration = make_configuration(2)
     routes = tuple(
-        replace(route, homes=frozenset(of_routes) or None) for route in configuration.routes
+        replace(route, allowed_regions=frozenset(of_routes) or None)
+        for route in configuration.routes
     )
     organisations = tuple(
-        replace(organisation, homes=frozenset(of_organisation) or None)
+        replace(organisation, allowed_regions=frozenset(of_organisation) or None)
         for organisation in configuration.organisations
     )
     return replace(configuration, routes=routes, organisations=organisations)
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/known/tests/test_store_turns.py
@@ -10,7 +10,7 @@
 
 from mulleinreach.common import EventLog, VirtualClock
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.known.schedules import direct_read_schedule
+from mulleinreach.gateway.known.turns import direct_read_schedule
 from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import Unavailable
