--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -32,7 +32,7 @@
 from mulleinreach.gateway.known.permits import PermitCount
 
 REPORT_INTERVAL_S = 0.1
-# RequestLimits the coordinator's processor time in large deployments.
+# Limits the coordinator's processor time in large deployments.
 LARGE_CLUSTER_INTERVAL_S = 0.2
 SMALL_CLUSTER_MAX_NODES = 32
 # A connection without a report for this time is closed.
--- a/mulleinreach/gateway/coordination/lease.py
+++ b/mulleinreach/gateway/coordination/lease.py
@@ -59,7 +59,7 @@
 
     ``RENEWED_ROWS_CHANGED``: renewed, but the operators' rows have changed since they were read.
     ``RENEWED_BY_EARLIER_WRITE``: an earlier renewal, whose response was lost, has been applied.
-    ``UNKNOWN``: the outcome is not previous_era, and this node may still hold the lease.
+    ``UNKNOWN``: the outcome is not known, and this node may still hold the lease.
     """
 
     RENEWED = enum.auto()
@@ -134,7 +134,7 @@
         self.record: LeaseRecord | None = None
         # Kept apart from the row, so that tokens increase even if the row is lost or unreadable.
         self._highest_token = 0
-        # RenewalOutcome count and first send time of the renewal whose outcome is unknown.
+        # Renewal count and first send time of the renewal whose outcome is unknown.
         self._unanswered: tuple[int, float] | None = None
         # Set when a host refuses an order because of a higher token; cleared on acquiring.
         self.fenced = asyncio.Event()
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -96,5 +96,5 @@
         return report
 
     def find_sent(self, seq: int) -> SentReport | None:
-        """Return a find_sent report by its number; ``None`` if it is no longer recorded."""
+        """Return a sent report by its number; ``None`` if it is no longer recorded."""
         return next((report for report in self._sent if report.seq == seq), None)
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -42,8 +42,8 @@
     ===========
 
     Permits are taken from a token bucket. Within any T seconds the nodes send at most
-    ``limit * (T + permit_lifetime_s(limit)) + max(BURST_PERMITS, BURST_S * limit)`` requests, even if
-    messages are lost or late.
+    ``limit * (T + permit_lifetime_s(limit)) + max(BURST_PERMITS, BURST_S * limit)`` requests,
+    even if messages are lost or late.
 
     Parameters
     ==========
--- a/mulleinreach/gateway/fleet/loads.py
+++ b/mulleinreach/gateway/fleet/loads.py
@@ -1,4 +1,4 @@
-"""RequestLimits loads of model weights to the capacity of the weight store."""
+"""Limits loads of model weights to the capacity of the weight store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class WeightLoadLimiter:
-    """RequestLimits the number and the rate of weight loads.
+    """Limits the number and the rate of weight loads.
 
     Loads are not limited before the first request of a deployment. Once set, ``is_limited``
     stays set.
--- a/mulleinreach/gateway/known/upstream_ends.py
+++ b/mulleinreach/gateway/known/upstream_ends.py
@@ -90,7 +90,7 @@
         _drop(self._by_hall_second, _hall_second(end), end.upstream_id, end)
 
     def count_begun(self, end: ObservedRun, limit: int) -> int:
-        """Return how many requests had begun at an upstream when it ended, at limit ``limit``."""
+        """Return how many requests had begun at an upstream when it ended, at most ``limit``."""
         count = 0
         for other in self._by_upstream.get(end.upstream_id, {}).values():
             count += other.outcome is RunOutcome.ENDED_BEGUN and other.is_simultaneous_with(end)
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/known/upstream_following.py
@@ -156,7 +156,7 @@
         return self._was_untrusted and self._clock.now() >= self._untrusted_until
 
     def confirm(self, requested_at: float) -> None:
-        """Note that the store record_answer another call, which was sent at ``requested_at``.
+        """Note that the store answered another call, which was sent at ``requested_at``.
 
         A long poll that was pending then, and still is, would have reported a change.
         """
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""DeploymentBounds that hold over all nodes or over a whole deployment: second sends, time, loads."""
+"""Bounds that hold over all nodes or over a whole deployment: second sends, time, loads."""
 
 from __future__ import annotations
 
