--- a/mulleinreach/cli/client.py
+++ b/mulleinreach/cli/client.py
@@ -31,7 +31,7 @@
     NOT_YET_ACCEPTED = 9
 
 
-EXIT_OF_CODE = {
+EXIT_BY_ERROR_CODE = {
     Code.BAD_REQUEST: Exit.BAD_INPUT,
     Code.BAD_SETTINGS: Exit.BAD_INPUT,
     Code.BODY_TOO_LARGE: Exit.BAD_INPUT,
@@ -91,7 +91,7 @@
             typer.echo(json.dumps({"error": error}, indent=2))
         else:
             typer.echo(f"{error['code']}: {error['message']}", err=True)
-        raise typer.Exit(EXIT_OF_CODE.get(Code(error["code"]), Exit.INTERNAL))
+        raise typer.Exit(EXIT_BY_ERROR_CODE.get(Code(error["code"]), Exit.INTERNAL))
 
     async def lines(self, path: str) -> AsyncIterator[dict]:
         """Yield the events of a stream until it ends."""
--- a/mulleinreach/cli/main.py
+++ b/mulleinreach/cli/main.py
@@ -16,8 +16,8 @@
     describe_config,
     describe_confirmation,
     describe_plan,
-    show,
-    table,
+    format_table,
+    print_answer,
 )
 from mulleinreach.common import MulleinreachError
 from mulleinreach.common.loop import SuspendAwareEventLoop
@@ -101,7 +101,7 @@
     intent = _load_or_exit(file, Intent)
     connection = Connection(server, token_file, output)
     answer = connection.call("POST", "/plans", {"intent": intent.model_dump(mode="json")})
-    show(answer, output, describe_plan(answer))
+    print_answer(answer, output, describe_plan(answer))
 
 
 @app.command()
@@ -115,7 +115,7 @@
     """Plan to drain hosts, or to return them to work; confirm the plan to do it."""
     connection = Connection(server, token_file, output)
     answer = connection.call("POST", "/plans", {"undrain" if undo else "drain": hosts})
-    show(answer, output, describe_plan(answer))
+    print_answer(answer, output, describe_plan(answer))
 
 
 @app.command()
@@ -128,7 +128,7 @@
     """Carry a plan out and wait until it is in force on every host."""
     connection = Connection(server, token_file, output)
     answer = connection.call("POST", f"/plans/{plan_id}/confirm")
-    show(answer, output, describe_confirmation(answer))
+    print_answer(answer, output, describe_confirmation(answer))
     if not answer["accepted"]:
         raise typer.Exit(Exit.NOT_YET_ACCEPTED)
 
@@ -142,8 +142,8 @@
 ) -> None:
     """List what there is."""
     answer = Connection(server, token_file, output).call("GET", f"/get/{what}")
-    text = describe_config(answer) if isinstance(answer, dict) else table(answer)
-    show(answer, output, text)
+    text = describe_config(answer) if isinstance(answer, dict) else format_table(answer)
+    print_answer(answer, output, text)
 
 
 @app.command()
@@ -162,7 +162,7 @@
         _explain_from_log(kind, name, log)
         return
     answer = Connection(server, token_file, output).call("GET", f"/explain/{kind}/{name}")
-    show(answer, output, answer["lines"])
+    print_answer(answer, output, answer["lines"])
 
 
 def _explain_from_log(kind: str, name: str, log: Path) -> None:
@@ -189,7 +189,7 @@
     """List who or what changed something, and why."""
     path = "/audit?all=true" if everything else "/audit"
     answer = Connection(server, token_file, output).call("GET", path)
-    show(answer, output, describe_audit(answer["entries"]))
+    print_answer(answer, output, describe_audit(answer["entries"]))
 
 
 @app.command()
@@ -203,7 +203,7 @@
 
     async def follow() -> None:
         async for event in connection.lines("/watch"):
-            show(event, output, [f"{event['subject']}: {event['state']}"])
+            print_answer(event, output, [f"{event['subject']}: {event['state']}"])
 
     asyncio.run(follow())
 
--- a/mulleinreach/cli/show.py
+++ b/mulleinreach/cli/show.py
@@ -10,7 +10,7 @@
 from mulleinreach.cli.client import Output
 
 
-def show(answer: dict | list, output: Output, text: list[str]) -> None:
+def print_answer(answer: dict | list, output: Output, text: list[str]) -> None:
     """Write ``answer`` as JSON, or the lines of ``text``."""
     if output is Output.JSON:
         typer.echo(json.dumps(answer, indent=2))
@@ -19,13 +19,13 @@
         typer.echo(line)
 
 
-def table(rows: list[dict]) -> list[str]:
+def format_table(rows: list[dict]) -> list[str]:
     """Return rows as lines with aligned columns.
 
     Examples
     ========
 
-    >>> table([{"a": 1, "b": "x"}, {"a": 22, "b": "y"}])
+    >>> format_table([{"a": 1, "b": "x"}, {"a": 22, "b": "y"}])
     ['A   B', '1   x', '22  y']
     """
     if not rows:
--- a/mulleinreach/common/calls.py
+++ b/mulleinreach/common/calls.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -40,11 +40,11 @@
 
 
 @dataclass(frozen=True)
-class CallSilent(CallFailed):
+class CallTimedOut(CallFailed):
     """No answer came in time, or the connection was known to be silent before that."""
 
 
-class HttpCalls:
+class HttpClient:
     """Calls in sessions of which the latest one is used for new calls.
 
     Parameters
@@ -62,28 +62,28 @@
         self.answered_at = NEVER
 
     async def ask(
-        self, method: str, url: str, timeout_s: float, is_wait: bool = False, **options
-    ) -> HttpAnswer | CallFailed:
+        self, method: str, url: str, timeout_s: float, is_long_poll: bool = False, **options
+    ) -> HttpResponse | CallFailed:
         """Make one call, within its time.
 
         Parameters
         ==========
 
-        is_wait : whether its time is over as soon as its connection is known to be silent.
+        is_long_poll : whether its time is over as soon as its connection is known to be silent.
         options : go to the session as they are.
         """
         limit = asyncio.timeout(timeout_s)
         async with self._session() as session:
             try:
                 async with limit:
-                    if is_wait:
+                    if is_long_poll:
                         self._waits[limit] = session
                     async with session.request(method, url, **options) as response:
                         body = await response.read()
-                        answer = HttpAnswer(response.status, body, response.headers)
+                        answer = HttpResponse(response.status, body, response.headers)
             except TimeoutError:
                 self._note_silence(session)
-                return CallSilent(f"no answer in {timeout_s:g} s")
+                return CallTimedOut(f"no answer in {timeout_s:g} s")
             except (aiohttp.ClientError, OSError) as error:
                 return CallFailed(f"{type(error).__name__}: {error}")
             finally:
@@ -116,7 +116,7 @@
         silent = [limit for limit, session in self._waits.items() if session is not self._current]
         self._end_waits(silent)
 
-    def end_all_waits(self) -> None:
+    def cancel_long_polls(self) -> None:
         """End the waits that are under way, since what they wait for can't come any more."""
         self._end_waits(list(self._waits))
 
--- a/mulleinreach/common/fields.py
+++ b/mulleinreach/common/fields.py
@@ -63,7 +63,7 @@
         """Return a number that not every deployment has."""
         return self.number(name) if self._fields.get(name) else usual
 
-    def entries(self, prefix: str) -> dict[str, str]:
+    def fields_with_prefix(self, prefix: str) -> dict[str, str]:
         """Return the fields of a table, by what follows on its name."""
         return {
             name.removeprefix(prefix): value
--- a/mulleinreach/common/tests/test_log.py
+++ b/mulleinreach/common/tests/test_log.py
@@ -6,14 +6,14 @@
 
 from absl import logging
 
-from mulleinreach.common import BoundedEventLog
+from mulleinreach.common import RateLimitedEventLog
 
 FLOOD = """
 import time
 from absl import logging
-from mulleinreach.common.log import EventLog, write_without_blocking
+from mulleinreach.common.log import EventLog, install_queued_logging
 logging.set_verbosity(logging.INFO)
-handler = write_without_blocking()
+handler = install_queued_logging()
 log = EventLog("n")
 for number in range(30_000):
     log.event("flood", number=number, filling="x" * 200)
@@ -35,7 +35,7 @@
     lines = []
     monkeypatch.setattr(logging, "info", lambda form, text: lines.append(text))
     clock = FixedClock()
-    log = BoundedEventLog("n", clock, per_second=3)
+    log = RateLimitedEventLog("n", clock, per_second=3)
     for _ in range(10):
         log.event("often")
     log.event("other")
--- a/mulleinreach/entry/once.py
+++ b/mulleinreach/entry/once.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from mulleinreach.common import Code, MulleinreachError, Ran
+from mulleinreach.common import Code, ExecutionStatus, MulleinreachError
 from mulleinreach.requests.claims import (
     Claim,
     ClaimRefused,
@@ -72,9 +72,9 @@
         claims.settle(claim, error.ran)
         raise
     except (Exception, asyncio.CancelledError):
-        claims.settle(claim, Ran.UNKNOWN)
+        claims.settle(claim, ExecutionStatus.UNKNOWN)
         raise
-    claims.settle(claim, Ran.RAN, answer)
+    claims.settle(claim, ExecutionStatus.RAN, answer)
 
 
 async def _answer_known(request: OnceRequest, known: Known, replay) -> None:
@@ -85,6 +85,6 @@
     if record.answer is not None:
         await replay(record.answer)
         return
-    ran = Ran.RAN if record.state is ClaimState.RAN else Ran.UNKNOWN
+    ran = ExecutionStatus.RAN if record.state is ClaimState.RAN else ExecutionStatus.UNKNOWN
     message = f"the key {request.key!r} was used by request {record.request_id}: {record.state}"
     raise MulleinreachError(Code.ALREADY_CLAIMED, message, ran=ran)
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -22,7 +22,7 @@
 import hashlib
 from dataclasses import asdict, dataclass, field, replace
 
-from mulleinreach.common import Clock, EventLog, Ran, TaskGroup
+from mulleinreach.common import Clock, EventLog, ExecutionStatus, TaskGroup
 from mulleinreach.stores import (
     ABSENT,
     Committed,
@@ -180,7 +180,7 @@
 
     def _settle_abandoned(self, task: asyncio.Task) -> None:
         if not task.cancelled() and isinstance(task.result(), Claim):
-            self.settle(task.result(), Ran.NOT_RUN)
+            self.settle(task.result(), ExecutionStatus.NOT_RUN)
 
     async def _claim(self, key: str, request_id: str, digest: str) -> Claim | Known | ClaimRefused:
         version = ABSENT
@@ -254,7 +254,7 @@
                     return
             await asyncio.sleep(RELEASE_INTERVAL_S)
 
-    def settle(self, claim: Claim, ran: Ran, answer: KeptAnswer | None = None) -> None:
+    def settle(self, claim: Claim, ran: ExecutionStatus, answer: KeptAnswer | None = None) -> None:
         """Write the outcome of a claimed request, in the background."""
         if answer is not None and len(answer.body) > MAX_KEPT_ANSWER_BYTES:
             answer = None
--- a/mulleinreach/roster/roster.py
+++ b/mulleinreach/roster/roster.py
@@ -152,7 +152,7 @@
     def _follow_table(self) -> None:
         """Start and end peer tasks so that they fit the rows in the table."""
         listed = {}
-        for row in self._cache.under(NODES_PREFIX):
+        for row in self._cache.rows_with_prefix(NODES_PREFIX):
             record = NodeRecord.from_row(row)
             if record.name != self.own.name and not self._directory.is_gone(record.name):
                 listed[record.name] = record
@@ -254,11 +254,11 @@
                 except OSError:
                     continue
 
-    def names(self) -> list[str]:
+    def node_names(self) -> list[str]:
         """Return the names of all nodes that are listed, ours among them, in order."""
         return sorted([self.own.name, *self.peers])
 
-    def live_names(self) -> list[str]:
+    def live_node_names(self) -> list[str]:
         """Return the names of the nodes that answered lately, ours among them."""
         now = self._clock.now()
         live = [n for n, p in self.peers.items() if now - p.answered_at < self._fresh_s]
--- a/mulleinreach/stores/cache.py
+++ b/mulleinreach/stores/cache.py
@@ -68,7 +68,7 @@
         """Return the row ``key`` as last read; an absent one has version 0."""
         return self._rows.get(key) or Row(key, ABSENT, None)
 
-    def under(self, prefix: str) -> list[Row]:
+    def rows_with_prefix(self, prefix: str) -> list[Row]:
         """Return the rows whose key starts with ``prefix``, in key order."""
         keys = sorted(key for key in self._rows if key.startswith(prefix))
         return [self._rows[key] for key in keys]
--- a/mulleinreach/stores/hostlist.py
+++ b/mulleinreach/stores/hostlist.py
@@ -135,7 +135,7 @@
         hosts = [h for h in self._hosts.values() if h.kind is kind]
         return sorted((h for h in hosts if h.state is not HostState.GONE), key=lambda h: h.name)
 
-    def plain_service(self, service: str) -> list[Host]:
+    def live_plain_hosts(self, service: str) -> list[Host]:
         """Return the live hosts of a plain service; leaving ones get no new work."""
         hosts = self.of_kind(HostKind.PLAIN)
         return [h for h in hosts if h.service == service and h.state is HostState.LIVE]
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -12,7 +12,7 @@
     describe_audit,
     describe_confirmation,
     describe_plan,
-    table,
+    format_table,
 )
 from mulleinreach.standins.faults import Fault
 from mulleinreach.standins.people import Caller, Operator, demo_intent
@@ -127,7 +127,7 @@
         return describe_plan(answer)
     if path == "/audit":
         return describe_audit(answer["entries"])
-    return answer["lines"] if "lines" in answer else table(answer)
+    return answer["lines"] if "lines" in answer else format_table(answer)
 
 
 @pytest.fixture
