--- a/mulleinreach/cli/client.py
+++ b/mulleinreach/cli/client.py
@@ -76,7 +76,7 @@
             typer.echo(f"{self.server}: {error}", err=True)
             raise typer.Exit(Exit.UNAVAILABLE) from error
         if status >= 400:
-            self._fail(answer["error"])
+            self._exit_with_error(answer["error"])
         return answer
 
     async def _call(self, method: str, path: str, body: dict | None) -> tuple[int, dict]:
@@ -86,7 +86,7 @@
             async with session.request(method, url, json=body) as response:
                 return response.status, json.loads(await response.read())
 
-    def _fail(self, error: dict) -> None:
+    def _exit_with_error(self, error: dict) -> None:
         if self.output is Output.JSON:
             typer.echo(json.dumps({"error": error}, indent=2))
         else:
--- a/mulleinreach/settings/model.py
+++ b/mulleinreach/settings/model.py
@@ -78,10 +78,10 @@
 
     def read_secret(self) -> bytes:
         """Return the secret; raises ``KeyError`` or ``OSError`` if it isn't there."""
-        kind, _, place = self.secret.partition(":")
+        kind, _, location = self.secret.partition(":")
         if kind == "env":
-            return os.environ[place].encode()
-        return Path(place).read_bytes().strip()
+            return os.environ[location].encode()
+        return Path(location).read_bytes().strip()
 
 
 class TimingSettings(StrictModel):
--- a/mulleinreach/stores/cache.py
+++ b/mulleinreach/stores/cache.py
@@ -39,12 +39,12 @@
     async def refresh(self) -> bool:
         """Read what changed; returns whether the table answered."""
         async with self._lock:
-            asked_at = self._clock.now()
+            sent_at = self._clock.now()
             snapshot = await self._table.read(self._prefix, self._revision)
             if not isinstance(snapshot, Snapshot):
                 return False
             self._apply(snapshot)
-            self.read_at = asked_at
+            self.read_at = sent_at
         for listener in self.listeners:
             listener()
         return True
--- a/mulleinreach/stores/hostlist.py
+++ b/mulleinreach/stores/hostlist.py
@@ -104,11 +104,11 @@
             if name in fresh:
                 self._missing.pop(name, None)
             else:
-                self._count_missing(name)
+                self._record_missing(name)
         self._hosts.update(fresh)
         self.reads += 1
 
-    def _count_missing(self, name: str) -> None:
+    def _record_missing(self, name: str) -> None:
         self._missing[name] = self._missing.get(name, 0) + 1
         if self._missing[name] >= self.GONE_AFTER_READS:
             host = self._hosts[name]
