--- a/mulleinreach/common/__init__.py
+++ b/mulleinreach/common/__init__.py
@@ -1,4 +1,4 @@
-"""Small shared modules: errors, clocks, logs, hashing, tasks and the network."""
+"""Shared utilities: errors, clocks, logging, hashing, background tasks and networking."""
 
 from mulleinreach.common.clock import Clock, VirtualClock
 from mulleinreach.common.errors import Code, ExecutionStatus, MulleinreachError
--- a/mulleinreach/common/calls.py
+++ b/mulleinreach/common/calls.py
@@ -1,13 +1,12 @@
-"""HTTP calls to one service, each within its time, on connections that are given up together.
+"""HTTP client for one service that replaces all connections after a timeout.
 
 Explanation
 ===========
 
-A connection may fall silent for good without a reset, and then others are likely to be
-silent too: idle ones, on which each next call would run out of time, and those on which a
-wait for changes is under way. So a call that runs out of time makes the next ones use new
-connections. An answer on a new one shows that the service is there, and that waits which
-began on the old ones are waits in vain.
+A connection can stop responding without a reset, and the other connections to the service are
+then likely to be dead too: idle ones as well as those with a long poll in progress. After a
+timeout, new calls therefore use a new session. A response on the new session shows that the
+service is reachable, so the long polls on older sessions are ended.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
@@ -34,23 +33,23 @@
 
 @dataclass(frozen=True)
 class CallFailed:
-    """The call came to no answer."""
+    """The call failed without a complete response."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class CallTimedOut(CallFailed):
-    """No answer came in time, or the connection was known to be silent before that."""
+    """The call timed out, or its connection was found to be dead before the timeout."""
 
 
 class HttpClient:
-    """Calls in sessions of which the latest one is used for new calls.
+    """Sends requests to one service; new calls use the latest session.
 
     Parameters
     ==========
 
-    make_session : makes a session without connections.
+    make_session : returns a new session without open connections.
     """
 
     def __init__(self, make_session: Callable[[], aiohttp.ClientSession]):
@@ -58,19 +57,20 @@
         self._current_session = make_session()
         self._active_calls: Counter[aiohttp.ClientSession] = Counter()
         self._long_polls: dict[asyncio.Timeout, aiohttp.ClientSession] = {}
-        # When the latest answer came, on the loop's clock.
+        # Time of the latest response, on the loop's clock.
         self.answered_at = NEVER
 
     async def ask(
         self, method: str, url: str, timeout_s: float, is_long_poll: bool = False, **options
     ) -> HttpResponse | CallFailed:
-        """Make one call, within its time.
+        """Send one request and return its response, or the failure.
 
         Parameters
         ==========
 
-        is_long_poll : whether its time is over as soon as its connection is known to be silent.
-        options : go to the session as they are.
+        timeout_s : timeout of the whole call, in seconds.
+        is_long_poll : whether the call ends early once its connection is known to be dead.
+        options : passed to the session unchanged.
         """
         limit = asyncio.timeout(timeout_s)
         async with self._session() as session:
@@ -93,7 +93,7 @@
 
     @contextlib.asynccontextmanager
     async def _session(self) -> AsyncIterator[aiohttp.ClientSession]:
-        """Give a session for one call; one that was given up is closed after its last call."""
+        """Yield the session for one call; close a replaced session after its last call."""
         session = self._current_session
         self._active_calls[session] += 1
         try:
@@ -106,12 +106,12 @@
                     await session.close()
 
     def _replace_session(self, session: aiohttp.ClientSession) -> None:
-        """Use new connections after a call in a session ran out of time."""
+        """Use a new session for later calls, after a call in ``session`` timed out."""
         if session is self._current_session:
             self._current_session = self._make_session()
 
     def _record_answer(self) -> None:
-        """Note that the service answers, and end the waits on connections given up."""
+        """Record the time of a response, and end the long polls on replaced sessions."""
         self.answered_at = asyncio.get_running_loop().time()
         stale_polls = [
             limit
@@ -121,7 +121,7 @@
         self._expire_timeouts(stale_polls)
 
     def cancel_long_polls(self) -> None:
-        """End the waits that are under way, since what they wait for can't come any more."""
+        """End all long polls in progress."""
         self._expire_timeouts(list(self._long_polls))
 
     def _expire_timeouts(self, limits: list[asyncio.Timeout]) -> None:
@@ -132,5 +132,5 @@
                 limit.reschedule(now)
 
     async def close(self) -> None:
-        """End the connections of the latest session."""
+        """Close the connections of the latest session."""
         await self._current_session.close()
--- a/mulleinreach/common/checked.py
+++ b/mulleinreach/common/checked.py
@@ -1,6 +1,7 @@
-"""Checks documents that others wrote against schemas, so that only sound fields get further.
+"""Validates documents from external sources against schemas.
 
-Types are strict: a number in a text, a fraction for a count or a truth for a number is refused.
+Types are strict: a string or a boolean in place of a number is rejected, and so is a fraction in
+place of an integer.
 """
 
 from __future__ import annotations
@@ -14,9 +15,9 @@
 
 from mulleinreach.common.net import Address
 
-# Names go into headers, log lines and messages between nodes.
+# Printable ASCII only, since names go into headers, log lines and messages between nodes.
 Name = Annotated[str, Meta(pattern=r"^[!-~]{1,200}\Z")]
-# The most that messages between nodes hold.
+# Messages between nodes encode counts as 16-bit integers.
 Count = Annotated[int, Meta(ge=0, le=65_535)]
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
@@ -24,11 +25,11 @@
 
 
 class CheckError(ValueError):
-    """A document isn't what its schema says; the text names the field and says why."""
+    """A document doesn't match its schema; the message names the field and the reason."""
 
 
 def check(schema: type[Schema], document: object) -> Schema:
-    """Return what a document says by a schema; raises :class:`CheckError`.
+    """Convert ``document`` to ``schema``; raises :class:`CheckError` if it doesn't match.
 
     Examples
     ========
@@ -49,7 +50,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that a text tells; raises :class:`CheckError`."""
+    """Parse ``host:port``; raises :class:`CheckError` if it is malformed."""
     try:
         return Address.parse(text)
     except ValueError as error:
@@ -57,7 +58,7 @@
 
 
 def read_object(data: bytes) -> dict[str, object]:
-    """Return the JSON object that bytes hold; raises :class:`CheckError`.
+    """Parse a JSON object; raises :class:`CheckError` if the data is anything else.
 
     Examples
     ========
@@ -75,7 +76,7 @@
 
 
 def pack_document(document: dict[str, object]) -> bytes:
-    """Return a document in a small form, for other nodes.
+    """Serialize a document as compressed JSON, to send to other nodes.
 
     Examples
     ========
@@ -87,7 +88,7 @@
 
 
 def unpack_document(data: bytes) -> dict[str, object]:
-    """Return a document that was packed; raises :class:`CheckError`."""
+    """Read a document from compressed JSON; raises :class:`CheckError` if it is malformed."""
     try:
         return read_object(zlib.decompress(data))
     except zlib.error as error:
--- a/mulleinreach/common/clock.py
+++ b/mulleinreach/common/clock.py
@@ -1,4 +1,4 @@
-"""The clocks: monotonic time for decisions, wall time for records."""
+"""Clocks: monotonic time for decisions, wall-clock time for records."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
     Explanation
     ===========
 
-    Decisions (leases, freshness, deadlines) use :meth:`now` only; records for
-    people use :meth:`wall`. Both go through this class, so that a test can
-    run whole nodes on a virtual loop.
+    Decisions (leases, freshness, deadlines) use only :meth:`now`; timestamps for
+    operators use :meth:`wall`. Tests replace this class to run nodes in virtual time.
     """
 
     def now(self) -> float:
-        """Return monotonic seconds, on the running event loop's clock."""
+        """Return the monotonic time of the running event loop, in seconds."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
@@ -27,7 +26,7 @@
 
 
 class VirtualClock(Clock):
-    """Wall time derived from the loop's virtual time, the same on every run."""
+    """Clock of tests: derives wall-clock time from the loop's virtual time."""
 
     START = 1_790_000_000.0
 
--- a/mulleinreach/common/errors.py
+++ b/mulleinreach/common/errors.py
@@ -1,4 +1,4 @@
-"""Error codes, what a request's outcome is, and the exception that carries them."""
+"""Error codes, the execution status of a request, and the exception that carries both."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     Explanation
     ===========
 
-    ``NOT_RUN`` is a promise: no byte of the request reached an upstream, or the
-    upstream itself refused it before it started. ``UNKNOWN`` is said whenever
-    that promise can't be made and no complete answer was received.
+    ``NOT_RUN`` guarantees that no byte of the request reached an upstream, or that the
+    upstream rejected the request before it started. ``UNKNOWN`` is used when this can't
+    be guaranteed and no complete response was received.
     """
 
     NOT_RUN = "not_run"
@@ -23,7 +23,7 @@
 
 
 class Code(enum.StrEnum):
-    """The code of each error that a caller or an operator can receive."""
+    """Codes of the errors that callers and operators can receive."""
 
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
@@ -77,15 +77,15 @@
 
 @dataclass
 class MulleinreachError(Exception):
-    """An error with a code, as it is told to a caller or an operator.
+    """An error as it is returned to a caller or an operator.
 
     Parameters
     ==========
 
-    code : what went wrong, from a closed list.
-    message : one sentence for a person; names the wrong value.
+    code : kind of the error.
+    message : one sentence for people; names the invalid value.
     ran : whether the request was executed.
-    retry_after_s : seconds to wait before trying again; ``None`` advises against it.
+    retry_after_s : seconds to wait before a retry; ``None`` if a retry is not advised.
 
     Examples
     ========
@@ -104,11 +104,11 @@
 
     @property
     def http_status(self) -> int:
-        """The HTTP status that goes with the code."""
+        """The HTTP status for the code."""
         return HTTP_STATUS[self.code]
 
     def to_json(self) -> dict:
-        """Return the one JSON shape in which every error is told."""
+        """Return the error as the JSON body of a response."""
         return {
             "error": {
                 "code": str(self.code),
--- a/mulleinreach/common/fields.py
+++ b/mulleinreach/common/fields.py
@@ -1,4 +1,4 @@
-"""Reads a settings file of ``name=value`` lines into typed fields."""
+"""Parses settings files of ``name=value`` lines into typed fields."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SettingsError(Exception):
-    """A field is missing or malformed; the text names it."""
+    """A field is missing or malformed; the message names it."""
 
 
 def parse_lines(text: str) -> dict[str, str]:
@@ -29,27 +29,27 @@
 
 
 class FieldReader:
-    """Reads typed fields; raises :class:`SettingsError` for those that can't be read."""
+    """Parses typed fields; raises :class:`SettingsError` for missing or malformed ones."""
 
     def __init__(self, fields: dict[str, str]):
         self._fields = fields
 
     def text(self, name: str) -> str:
-        """Return a field that may not be empty."""
+        """Return a required, non-empty field."""
         value = self._fields.get(name, "")
         if not value:
             raise SettingsError(f"field {name!r} is missing")
         return value
 
     def address(self, name: str) -> Address:
-        """Return a host and port."""
+        """Return a required ``host:port`` field."""
         try:
             return Address.parse(self.text(name))
         except ValueError as error:
             raise SettingsError(f"field {name!r}: {error}") from error
 
     def number(self, name: str) -> float:
-        """Return a finite number."""
+        """Return a required, finite number."""
         value = self.text(name)
         try:
             number = float(value)
@@ -60,11 +60,11 @@
         return number
 
     def optional(self, name: str, default: float) -> float:
-        """Return a number that not every deployment has."""
+        """Return a number, or ``default`` if the field is absent or empty."""
         return self.number(name) if self._fields.get(name) else default
 
     def fields_with_prefix(self, prefix: str) -> dict[str, str]:
-        """Return the fields of a table, by what follows on its name."""
+        """Return the fields whose name starts with ``prefix``, keyed by the rest of the name."""
         return {
             name.removeprefix(prefix): value
             for name, value in self._fields.items()
@@ -72,18 +72,18 @@
         }
 
     def flag(self, name: str) -> bool:
-        """Return a truth."""
+        """Return a required boolean, ``true`` or ``false``."""
         value = self.text(name)
         if value not in ("true", "false"):
             raise SettingsError(f"field {name!r}: {value!r} is neither 'true' nor 'false'")
         return value == "true"
 
     def seconds(self, name: str) -> float:
-        """Return a time that stands there in milliseconds."""
+        """Return a duration in seconds; the field is in milliseconds."""
         return self.number(name) / 1000
 
     def first_port(self, name: str) -> int:
-        """Return the first port of a list."""
+        """Return the first port of a comma-separated list."""
         value = self.text(name).partition(",")[0]
         if not value.isdigit():
             raise SettingsError(f"field {name!r}: {value!r} is not a port")
--- a/mulleinreach/common/hashing.py
+++ b/mulleinreach/common/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: nodes that share a list agree on a choice without talking.
+"""Rendezvous hashing: nodes with the same member list agree on a choice without communication.
 
 References
 ==========
@@ -14,12 +14,12 @@
 
 
 def rendezvous_rank(key: str, members: Iterable[str]) -> list[str]:
-    """Return ``members`` ordered by preference for ``key``.
+    """Return ``members`` sorted by their hash score for ``key``, highest first.
 
     Explanation
     ===========
 
-    Removing a member moves only the keys that it was first for.
+    Removing a member moves only the keys for which it was first.
 
     Examples
     ========
--- a/mulleinreach/common/http_fields.py
+++ b/mulleinreach/common/http_fields.py
@@ -1,4 +1,4 @@
-"""Reads values of header fields that HTTP itself defines, and numbers in others."""
+"""Parses standard HTTP header fields, and numbers in other fields."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def bearer_key(value: str) -> str | None:
-    """Return the key of an ``Authorization`` field, ``None`` if it has another scheme.
+    """Return the bearer token of an ``Authorization`` field, ``None`` for other schemes.
 
     Examples
     ========
@@ -22,7 +22,7 @@
 
 
 def read_number(text: str | None) -> float | None:
-    """Return a number, ``None`` where there is none.
+    """Parse a number; returns ``None`` if the text isn't one.
 
     Examples
     ========
@@ -37,7 +37,7 @@
 
 
 def read_count(text: str | None) -> int | None:
-    """Return a whole number, ``None`` where there is none.
+    """Parse a non-negative integer; returns ``None`` if the text isn't one.
 
     Examples
     ========
@@ -49,7 +49,7 @@
 
 
 def retry_after_s(text: str | None) -> float:
-    """Return the seconds of a ``Retry-After`` field, fractions included; 0 where it has none.
+    """Return the seconds of a ``Retry-After`` field, or 0 if it holds no positive number.
 
     Examples
     ========
--- a/mulleinreach/common/log.py
+++ b/mulleinreach/common/log.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of ``key=value`` pairs for each event."""
+"""Structured logging: one line of ``key=value`` pairs for each event."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return a value as it stands in a log line; quoted if it has a space.
+    """Format a value for a log line; text with spaces or special characters is quoted.
 
     Examples
     ========
@@ -40,30 +40,31 @@
 
 
 class EventLog:
-    """Writes events of one node through ``absl.logging``."""
+    """Logs the events of one node through ``absl.logging``."""
 
     def __init__(self, node: str):
         self._node = node
 
     def event(self, name: str, **fields: object) -> None:
-        """Log the event ``name`` with its fields, in the order given."""
+        """Log the event ``name`` with its fields, in the given order."""
         pairs = [f"event={name}", f"node={self._node}"]
         pairs += [f"{key}={format_value(value)}" for key, value in fields.items()]
         logging.info("%s", " ".join(pairs))
 
 
 class RateLimitedEventLog(EventLog):
-    """Writes each kind of event at most so many times a second.
+    """Limits how often an event of one name is logged per second.
 
     Explanation
     ===========
 
-    What was left out is counted, and told by the next line of the same kind.
+    Suppressed events are counted; the next line of the same event has the count as ``left_out``.
 
     Parameters
     ==========
 
-    clock : its monotonic time tells the seconds.
+    clock : its monotonic time defines the seconds.
+    per_second : maximum lines of one event name in a second.
     """
 
     def __init__(self, node: str, clock: Clock, per_second: int = MAX_LINES_PER_SECOND):
@@ -75,7 +76,7 @@
         self._left_out: dict[str, int] = {}
 
     def event(self, name: str, **fields: object) -> None:
-        """Log the event, unless there were too many of its kind within this second."""
+        """Log the event, unless its limit for this second is reached."""
         second = int(self._clock.now())
         if self._second.get(name) != second:
             self._second[name] = second
@@ -91,14 +92,14 @@
 
 
 class DroppingQueueHandler(logging_handlers.QueueHandler):
-    """Hands lines to a thread that writes; a full queue loses lines and counts them."""
+    """Passes lines to a writer thread; lines are dropped and counted if the queue is full."""
 
     def __init__(self, lines: queue.Queue):
         super().__init__(lines)
         self.dropped = 0
 
     def enqueue(self, record: standard_logging.LogRecord) -> None:
-        """Put a line into the queue, or drop it."""
+        """Queue a line, or drop it if the queue is full."""
         try:
             self.queue.put_nowait(record)
         except queue.Full:
@@ -111,23 +112,23 @@
 
 
 class _TimedStopListener(logging_handlers.QueueListener):
-    """Writes what is left at the end, but doesn't wait for a reader that is gone."""
+    """Flushes the queue at exit, but only for a bounded time if nothing reads the stream."""
 
     def stop(self) -> None:
-        """End the thread, or leave it behind after ``FLUSH_TIMEOUT_S`` seconds."""
+        """Stop the thread, or abandon it after ``FLUSH_TIMEOUT_S`` seconds."""
         thread, self._thread = self._thread, None
         if thread is not None:
             self.enqueue_sentinel()
             thread.join(FLUSH_TIMEOUT_S)
 
     def enqueue_sentinel(self) -> None:
-        """Tell the thread to end, even if lines have to be dropped for it."""
+        """Signal the thread to stop, unless the queue is full."""
         with contextlib.suppress(queue.Full):
             self.queue.put_nowait(self._sentinel)
 
 
 def install_queued_logging(stream: TextIO | None = None) -> DroppingQueueHandler:
-    """Let all log lines go to ``stream`` by way of a thread, so that no writer waits."""
+    """Write all log lines to ``stream`` from a separate thread, so that logging never blocks."""
     writer = standard_logging.StreamHandler(stream or sys.stdout)
     writer.setFormatter(
         standard_logging.Formatter("%(levelname).1s%(asctime)s.%(msecs)03d %(message)s", "%H:%M:%S")
--- a/mulleinreach/common/loop.py
+++ b/mulleinreach/common/loop.py
@@ -1,25 +1,24 @@
-"""An event loop whose time goes on while the machine is suspended."""
+"""An event loop whose clock includes the time in which the machine is suspended."""
 
 from __future__ import annotations
 
 import asyncio
 import time
 
-# Systems without this clock have none that counts suspended time steadily.
+# Falls back to CLOCK_MONOTONIC on systems without CLOCK_BOOTTIME.
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
-    """Counts suspended time for every timer and for all that is dated by the loop.
+    """Includes suspended time in timers and in timestamps of the loop.
 
     Explanation
     ===========
 
-    The usual loop's clock stands still while a machine is suspended. A node would wake with a
-    lease that it believes to hold, evidence that it believes to be young and callers that it
-    believes to be waiting. On this loop all of them have aged, and timers that are due fire at
-    once, as after a freeze of the process. The selector itself waits by the usual clock, so that
-    a sleeping loop notices the jump with its next timer; a node has one each 0.1 s.
+    The clock of the default loop stops while a machine is suspended. After it resumes, a node
+    would still treat expired leases, stale evidence and timed-out callers as current. On this
+    loop they have aged, and overdue timers fire at once. The selector still waits on the default
+    clock, so the loop notices the suspension with its next timer; a node has one every 0.1 s.
 
     Examples
     ========
@@ -32,10 +31,10 @@
     """
 
     def time(self) -> float:
-        """Return seconds since the machine was started, those in suspension too."""
+        """Return the seconds since boot, including suspended time."""
         return time.clock_gettime(_BOOT_CLOCK)
 
 
 def suspended_s() -> float:
-    """Return how long the machine has been suspended in all, since it was started."""
+    """Return the total suspended time since boot, in seconds."""
     return time.clock_gettime(_BOOT_CLOCK) - time.monotonic()
--- a/mulleinreach/common/net.py
+++ b/mulleinreach/common/net.py
@@ -1,4 +1,4 @@
-"""Listening and connecting, in one place so that a test can put in another network."""
+"""TCP and HTTP servers and clients; tests replace :class:`Network`."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 StreamHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 CONNECT_TIMEOUT_S = 1.0
-# IP numbers and names; nothing else may get into URLs and headers.
+# IP addresses and host names; other characters could alter URLs and headers.
 _HOST = re.compile(r"[0-9A-Za-z.\-]{1,253}|\[?[0-9A-Fa-f:.]{2,45}\]?")
 MAX_LINE_BYTES = 8190
 MAX_HEADER_BYTES = 16380
@@ -28,7 +28,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``host:port``.
+        """Parse ``host:port``; raises ``ValueError`` if it is malformed.
 
         Examples
         ========
@@ -52,14 +52,14 @@
 
 
 class HttpServer:
-    """An aiohttp application that listens on one address."""
+    """A running aiohttp application that listens on one address."""
 
     def __init__(self, runner: web.AppRunner, server: asyncio.AbstractServer):
         self._runner = runner
         self._server = server
 
     async def close(self) -> None:
-        """Stop listening and end the connections that are open."""
+        """Stop listening and close the open connections."""
         self._server.close()
         await self._runner.cleanup()
 
@@ -71,7 +71,7 @@
         self.origin = origin
 
     async def serve_http(self, app: web.Application, address: Address) -> HttpServer:
-        """Serve ``app``; a handler is cancelled when its caller hangs up."""
+        """Serve ``app``; a handler is cancelled when its caller disconnects."""
         runner = web.AppRunner(
             app,
             access_log=None,
@@ -88,14 +88,13 @@
     def http_client(
         self, keeps_connections: bool = True, connect_timeout_s: float = CONNECT_TIMEOUT_S
     ) -> aiohttp.ClientSession:
-        """Return a client session without limits of its own on time or connections.
+        """Return a client session without a total timeout or a connection limit.
 
         Explanation
         ===========
 
-        aiohttp sends a request again by itself when a kept connection turns out
-        to be closed. That is switched off: only this project's code may decide
-        that a request is sent twice.
+        aiohttp retries a request by itself if a reused connection turns out to be
+        closed. This is disabled, because a retry must be decided by the caller.
         """
         session = aiohttp.ClientSession(
             connector=self._connector(force_close=not keeps_connections),
--- a/mulleinreach/common/tasks.py
+++ b/mulleinreach/common/tasks.py
@@ -1,4 +1,4 @@
-"""A set of background tasks that is ended together."""
+"""Groups of background tasks that are cancelled together."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class TaskGroup:
-    """Background tasks of one owner; a task that fails is logged, never lost.
+    """Background tasks of one owner; the failure of a task is logged.
 
     See Also
     ========
 
-    asyncio.TaskGroup : cancels its siblings when one fails, which a daemon must not.
+    asyncio.TaskGroup : cancels all tasks when one fails, which a daemon must not do.
     """
 
     def __init__(self) -> None:
-        # A dict keeps the order of starting, so that a run can be repeated.
+        # A dict keeps the order of start, so that tests are deterministic.
         self._tasks: dict[asyncio.Task, None] = {}
 
     def spawn(self, coroutine: Coroutine) -> asyncio.Task:
-        """Run ``coroutine`` until it ends or the group is closed."""
+        """Run ``coroutine`` as a task until it ends or the group is closed."""
         task = asyncio.create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(self._finished)
@@ -42,13 +42,13 @@
 
 
 async def run_periodically(interval_s: float, action: Callable[[], Awaitable[object]]) -> None:
-    """Call ``action`` for ever, pausing ``interval_s`` seconds after each call.
+    """Call ``action`` repeatedly, with a pause of ``interval_s`` seconds after each call.
 
     Explanation
     ===========
 
-    A call that fails is logged and the next one is made: one bad row or answer
-    must not end a duty for the rest of a node's life.
+    An exception is logged and doesn't stop the loop, so that one malformed row or
+    response can't disable a periodic task.
     """
     while True:
         try:
--- a/mulleinreach/common/tests/test_log.py
+++ b/mulleinreach/common/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Logs stay within their bounds and never hold the process up."""
+"""Guards against unbounded logs, and against logging that blocks the process."""
 
 import os
 import subprocess
@@ -23,7 +23,7 @@
 
 
 class FixedClock:
-    """A clock that is set by hand."""
+    """A clock whose time is set by the test."""
 
     time = 0.0
 
@@ -55,7 +55,7 @@
     )
     os.close(writing)
     try:
-        # Nobody reads the pipe; the process gets through all the same.
+        # The process must finish although nothing reads the pipe.
         while not done.exists() or not done.read_text():
             assert process.poll() is None
         assert int(done.read_text()) > 0
--- a/mulleinreach/common/tests/test_loop.py
+++ b/mulleinreach/common/tests/test_loop.py
@@ -1,4 +1,4 @@
-"""Timers count the time for which the machine was suspended."""
+"""Guards against timers that ignore the time in which the machine was suspended."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class FakeSystemClocks:
-    """The machine's clocks, of which one goes on in suspension."""
+    """Replaces the ``time`` module; one of its clocks includes suspended time."""
 
     def __init__(self) -> None:
         self.suspended_for_s = 0.0
 
     def clock_gettime(self, clock: int) -> float:
-        """Return the time of a clock that counts suspension."""
+        """Return the time of the clock that includes suspension."""
         assert clock == loop_module._BOOT_CLOCK
         return time.monotonic() + self.suspended_for_s
 
     @staticmethod
     def monotonic() -> float:
-        """Return the time of the clock that stands still meanwhile."""
+        """Return the time of the clock that stops during suspension."""
         return time.monotonic()
 
 
@@ -36,7 +36,7 @@
 
 
 def run(main):
-    """Run a coroutine on a loop of its own."""
+    """Run a coroutine on a new loop."""
     with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         return runner.run(main)
 
@@ -51,7 +51,7 @@
 
     started_at = time.monotonic()
     run(main())
-    # Ten minutes on a loop that does not count suspension.
+    # A loop that ignores suspension would take 600 s.
     assert time.monotonic() - started_at < 60
 
 
