--- a/mulleinreach/stores/cache.py
+++ b/mulleinreach/stores/cache.py
@@ -1,4 +1,4 @@
-"""A local copy of the table's shared rows, and how fresh it is."""
+"""A local cache of the table's shared rows."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class TableCache:
-    """The rows under ``state/``, brought up to date by reads of what changed.
+    """Caches the rows under ``state/``; refreshes read only the changed rows.
 
     Explanation
     ===========
 
     ``read_at`` is the monotonic time at which the latest successful read was
-    *asked for*: whatever the table held then is in the copy. A copy that is
-    behind is safe to decide on, since each change is conditional on the
-    versions of the rows it was decided from. ``changes`` counts the reads that
-    brought anything new, so that what is derived from the rows can be kept.
+    *sent*: the cache includes all changes committed before it. Decisions on a stale
+    cache are safe, since each write is conditional on the versions of the rows
+    it is based on. ``changes`` counts the reads that returned changed rows, so that
+    values derived from the rows can be cached.
     """
 
     def __init__(self, table: TableClient, clock: Clock, prefix: str = SHARED_PREFIX):
@@ -37,7 +37,7 @@
         self.listeners: list[Callable[[], None]] = []
 
     async def refresh(self) -> bool:
-        """Read what changed; returns whether the table answered."""
+        """Read the changed rows; returns whether the read succeeded."""
         async with self._lock:
             sent_at = self._clock.now()
             snapshot = await self._table.read(self._prefix, self._revision)
@@ -61,14 +61,14 @@
 
     @property
     def was_read(self) -> bool:
-        """Whether this copy was ever filled from the table."""
+        """Whether the table was read successfully at least once."""
         return self.read_at != NEVER
 
     def get(self, key: str) -> Row:
-        """Return the row ``key`` as last read; an absent one has version 0."""
+        """Return the row ``key`` as last read; an absent row has version 0."""
         return self._rows.get(key) or Row(key, ABSENT, None)
 
     def rows_with_prefix(self, prefix: str) -> list[Row]:
-        """Return the rows whose key starts with ``prefix``, in key order."""
+        """Return the rows whose key starts with ``prefix``, sorted by key."""
         keys = sorted(key for key in self._rows if key.startswith(prefix))
         return [self._rows[key] for key in keys]
--- a/mulleinreach/stores/hostlist.py
+++ b/mulleinreach/stores/hostlist.py
@@ -1,4 +1,4 @@
-"""Client of the platform's host list: which hosts live, leave or are gone. It lags."""
+"""Client of the platform's host list: the state of each host, with some delay."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class HostState(enum.StrEnum):
-    """What the platform says of a host; ``GONE`` means its processes have ended."""
+    """State of a host in the list; ``GONE`` means that its processes have ended."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -22,7 +22,7 @@
 
 
 class HostKind(enum.StrEnum):
-    """What runs on a host."""
+    """Kind of software that runs on a host."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -31,15 +31,15 @@
 
 @dataclass(frozen=True)
 class Host:
-    """One machine of the list.
+    """One host of the list.
 
     Parameters
     ==========
 
     name : unique and stable.
     address : ``ip:port`` of its upstream or node.
-    domain : the fabric domain; empty for hosts without one.
-    service : the plain service it runs; empty for other kinds.
+    domain : fabric domain; empty if the host has none.
+    service : name of the plain service on the host; empty for other kinds.
     """
 
     name: str
@@ -60,7 +60,7 @@
         self._url = address.url
 
     async def read(self) -> list[Host] | None:
-        """Return the list, or ``None`` if there was no usable answer."""
+        """Return the hosts, or ``None`` if the request failed or the response is malformed."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 async with self._session.get(self._url + "/hosts") as response:
@@ -80,14 +80,13 @@
 
 
 class HostDirectory:
-    """The latest host list that was read; kept through an outage of the list.
+    """The latest host list; it is kept while the service is unavailable.
 
     Explanation
     ===========
 
-    A host that is missing from a later list counts as gone, once it has been
-    missing from ``GONE_AFTER_READS`` lists in a row: one odd answer must not
-    free a host.
+    A host counts as gone once it has been missing from ``GONE_AFTER_READS``
+    consecutive lists, so that one incomplete response doesn't free a host.
     """
 
     GONE_AFTER_READS = 3
@@ -98,7 +97,7 @@
         self.reads = 0
 
     def update(self, hosts: list[Host]) -> None:
-        """Take in a list that was read."""
+        """Apply a newly read list."""
         fresh = {host.name: host for host in hosts}
         for name in list(self._hosts):
             if name in fresh:
@@ -116,26 +115,26 @@
 
     @property
     def was_read(self) -> bool:
-        """Whether enough lists were read to tell that a host is not listed."""
+        """Whether enough lists were read to conclude that a host is not listed."""
         return self.reads >= self.GONE_AFTER_READS
 
     def get(self, name: str) -> Host | None:
-        """Return the host called ``name``, if it was ever listed."""
+        """Return the host ``name``, or ``None`` if it was never listed."""
         return self._hosts.get(name)
 
     def is_gone(self, name: str) -> bool:
-        """Whether the platform says that the host's processes have ended."""
+        """Whether the host is gone: its processes have ended."""
         host = self._hosts.get(name)
         if host is None:
             return False
         return host.state is HostState.GONE
 
     def of_kind(self, kind: HostKind) -> list[Host]:
-        """Return the hosts of a kind in name order, gone ones left out."""
+        """Return the hosts of a kind, except gone ones, sorted by name."""
         hosts = [h for h in self._hosts.values() if h.kind is kind]
         return sorted((h for h in hosts if h.state is not HostState.GONE), key=lambda h: h.name)
 
     def live_plain_hosts(self, service: str) -> list[Host]:
-        """Return the live hosts of a plain service; leaving ones get no new work."""
+        """Return the live hosts of a plain service; leaving hosts get no new requests."""
         hosts = self.of_kind(HostKind.PLAIN)
         return [h for h in hosts if h.service == service and h.state is HostState.LIVE]
--- a/mulleinreach/stores/objects.py
+++ b/mulleinreach/stores/objects.py
@@ -1,4 +1,4 @@
-"""Client of the platform's object store: named bodies, put once and read whole."""
+"""Client of the platform's object store."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ObjectStore:
-    """``PUT`` and ``GET`` of ``/objects/NAME``, and a list by prefix."""
+    """Stores, reads and lists objects, each written once and read as a whole."""
 
     def __init__(self, session: aiohttp.ClientSession, address: Address):
         self._session = session
         self._url = address.url
 
     async def put(self, name: str, body: bytes) -> bool:
-        """Store ``body``; returns whether the store said that it holds it."""
+        """Store ``body``; returns whether the store confirmed the write."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 url = f"{self._url}/objects/{name}"
@@ -29,7 +29,7 @@
             return False
 
     async def get(self, name: str) -> bytes | None:
-        """Return the body, or ``None`` if it is absent or the store can't be reached."""
+        """Return the body, or ``None`` if it is absent or the request failed."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 async with self._session.get(f"{self._url}/objects/{name}") as response:
@@ -38,7 +38,7 @@
             return None
 
     async def list(self, prefix: str) -> list[str] | None:
-        """Return the names under ``prefix`` in order, or ``None`` without an answer."""
+        """Return the names under ``prefix`` in the store's order, or ``None`` on failure."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 params = {"prefix": prefix}
--- a/mulleinreach/stores/table.py
+++ b/mulleinreach/stores/table.py
@@ -3,18 +3,18 @@
 Explanation
 ===========
 
-The service is spoken to in JSON over HTTP, and only here:
+The protocol is JSON over HTTP, implemented only in this module:
 
 - ``POST /transactions`` with ``{"conditions": [{"key", "version"}],
-  "writes": [{"key", "value"}]}`` answers 200 ``{"revision"}`` or 409
+  "writes": [{"key", "value"}]}`` returns 200 ``{"revision"}`` or 409
   ``{"conflicts": [row]}``. Version 0 means that the row is absent; a write of
   ``null`` deletes. A row's version is the revision that last wrote it.
-- ``GET /rows?prefix=P&since=R`` answers ``{"revision", "rows": [row]}`` with
-  the rows under ``P`` changed after revision ``R``, deleted ones with a
+- ``GET /rows?prefix=P&since=R`` returns ``{"revision", "rows": [row]}`` with
+  the rows under ``P`` changed after revision ``R``; deleted rows have a
   ``null`` value.
 
-A write can be carried out while its answer is lost. Such a write is
-:class:`Unresolved`, and the caller must read back before it relies on either.
+If the response to a write is lost, the write may still have been committed. The
+result is then :class:`Unresolved`, and the caller must read the row to find out.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """A row as it was read; ``value`` is ``None`` for a deleted one."""
+    """A row as it was read; ``value`` is ``None`` if it is absent or deleted."""
 
     key: str
     version: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """The version that a row must have for a transaction to be carried out."""
+    """The version that a row must have for a transaction to commit."""
 
     key: str
     version: int
@@ -58,28 +58,28 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """The transaction was carried out, at ``revision``."""
+    """The transaction committed at ``revision``."""
 
     revision: int
 
 
 @dataclass(frozen=True)
 class Conflict:
-    """Nothing was written; ``rows`` are those whose condition failed, as they are."""
+    """Nothing was written; ``rows`` are the current rows whose conditions failed."""
 
     rows: list[Row]
 
 
 @dataclass(frozen=True)
 class Unresolved:
-    """It is not known whether the transaction was, or will be, carried out."""
+    """It is unknown whether the transaction committed or will commit."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Unavailable:
-    """Nothing was written or read: the service was not reached, or gave no rows."""
+    """Nothing was written or read: the service was unreachable or returned an error."""
 
     reason: str
 
@@ -103,7 +103,7 @@
         self._url = address.url
 
     async def transact(self, conditions: list[Condition], writes: list[Write]) -> TransactionResult:
-        """Carry out ``writes`` if every condition holds, or none of them."""
+        """Apply all ``writes`` atomically if every condition holds, else none of them."""
         body = {
             "conditions": [{"key": c.key, "version": c.version} for c in conditions],
             "writes": [{"key": w.key, "value": w.value} for w in writes],
@@ -118,8 +118,8 @@
             return Unresolved(f"{type(error).__name__}: {error}")
 
     async def _read_result(self, response: aiohttp.ClientResponse) -> TransactionResult:
-        # A 5xx may come from something between us and the service, after the
-        # service did its work, so it settles nothing.
+        # A proxy may return 5xx after the service committed the transaction, so the
+        # outcome is unknown.
         if response.status not in (200, 409):
             return Unresolved(f"status {response.status}")
         answer = json.loads(await response.read())
@@ -141,7 +141,7 @@
             return Unavailable(f"{type(e).__name__}: {e}")
 
     async def get(self, key: str) -> Row | Unavailable:
-        """Return one row; an absent one has version 0."""
+        """Return one row; an absent row has version 0."""
         snapshot = await self.read(key)
         if isinstance(snapshot, Unavailable):
             return snapshot
