--- a/mulleinreach/settings/__init__.py
+++ b/mulleinreach/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of a node: their model, and the loader that checks them."""
+"""Settings of a node: the schema, and the loader that validates files."""
 
 from mulleinreach.settings.loader import check_document, load_file, parse_yaml
 from mulleinreach.settings.model import NodeSettings, OperatorSettings, PeerKeySettings
--- a/mulleinreach/settings/loader.py
+++ b/mulleinreach/settings/loader.py
@@ -1,4 +1,4 @@
-"""Reads YAML files: duplicate keys are errors, and an error names file, key and value."""
+"""Loads YAML files; rejects duplicate keys, and names file, key and value in errors."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
-    """A safe YAML loader that refuses a key that stands twice in one mapping."""
+    """A safe YAML loader that rejects duplicate keys in a mapping."""
 
     def construct_mapping(self, node, deep=False):
         seen = set()
@@ -32,7 +32,7 @@
 
 
 def parse_yaml(text: str, source: str) -> object:
-    """Return the document in ``text``; ``source`` names it in errors.
+    """Parse a YAML document; ``source`` is its name in errors.
 
     Examples
     ========
@@ -52,7 +52,7 @@
 
 
 def check_document(document: object, model: type[Model], source: str) -> Model:
-    """Return ``document`` as ``model``, or raise an error that names every fault."""
+    """Validate ``document`` as ``model``; the error raised lists every fault."""
     try:
         return model.model_validate(document)
     except ValidationError as error:
@@ -70,7 +70,7 @@
 
 
 def load_file(path: Path, model: type[Model]) -> Model:
-    """Read and check one file; raises ``MulleinreachError`` with ``BAD_SETTINGS``."""
+    """Load and validate one file; raises ``MulleinreachError`` with ``BAD_SETTINGS``."""
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
             raise MulleinreachError(Code.BAD_SETTINGS, f"{path}: over {MAX_FILE_BYTES} bytes")
--- a/mulleinreach/settings/model.py
+++ b/mulleinreach/settings/model.py
@@ -1,4 +1,4 @@
-"""What a node's settings file may hold, with units and bounds."""
+"""Schema of a node's settings file."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StrictModel(BaseModel):
-    """A part of a settings file; unknown keys are errors."""
+    """Base class of the sections of a settings file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -26,7 +26,7 @@
 
 
 class NodeIdentity(StrictModel):
-    """Which node this is and where it stands."""
+    """Name and location of the node."""
 
     name: Name
     hall: Name
@@ -62,22 +62,21 @@
 
 
 class PeerKeySettings(StrictModel):
-    """A key shared by all nodes: where its secret is read from.
+    """A key shared by all nodes, and the source of its secret.
 
     Explanation
     ===========
 
-    ``secret`` is ``env:NAME`` or ``file:PATH``. The first key of the list is
-    used to prove who we are; every key of the list is accepted. A key is turned
-    over in three steps: add the new one last everywhere, move it to the front
-    everywhere, remove the old one.
+    ``secret`` is ``env:NAME`` or ``file:PATH``. A node signs with the first key of
+    the list and accepts every key of the list. To rotate a key, append the new key
+    on all nodes, move it to the front on all nodes, then remove the old one.
     """
 
     id: Name
     secret: Annotated[str, Field(pattern=r"^(env|file):.+$")]
 
     def read_secret(self) -> bytes:
-        """Return the secret; raises ``KeyError`` or ``OSError`` if it isn't there."""
+        """Return the secret; raises ``KeyError`` or ``OSError`` if it is missing."""
         kind, _, location = self.secret.partition(":")
         if kind == "env":
             return os.environ[location].encode()
@@ -85,7 +84,7 @@
 
 
 class TimingSettings(StrictModel):
-    """Intervals and lifetimes, in seconds. Every node must use the same."""
+    """Intervals and lifetimes in seconds; all nodes must use the same values."""
 
     table_poll_s: float = Field(0.5, gt=0, le=10)
     peer_ping_s: float = Field(0.5, gt=0, le=10)
@@ -103,7 +102,7 @@
 
 
 class LimitSettings(StrictModel):
-    """Bounds on what callers may send and on what a node keeps."""
+    """Limits on requests of callers and on the data that a node stores."""
 
     body_bytes: int = Field(4_000_000, ge=1024, le=64_000_000)
     json_depth: int = Field(32, ge=2, le=200)
@@ -114,15 +113,15 @@
 
 
 class EngineSettings(StrictModel):
-    """What is known about the model engines of this deployment.
+    """Properties of the model engines of this deployment.
 
     Explanation
     ===========
 
-    Engines in ``unchecked_domains`` carry out an order whatever its epoch; the
-    orders to them are handled with more care. ``load_streams`` is how many hosts
-    the weight store serves at full speed at once, ``host_load_s`` how long one
-    host then takes.
+    Engines in ``unchecked_domains`` don't check the epoch of an order, so orders to
+    them need additional checks. ``load_streams`` is the number of hosts that can load
+    weights concurrently at full speed; ``host_load_s`` is the time that one host then
+    takes, in seconds.
     """
 
     unchecked_domains: list[Name] = []
@@ -131,7 +130,7 @@
 
 
 class NodeSettings(StrictModel):
-    """The whole settings file of one node."""
+    """Settings file of one node."""
 
     kind: Literal["node"]
     deployment: Name
