--- a/mulleinreach/cli/__init__.py
+++ b/mulleinreach/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/mulleinreach/cli/client.py
+++ b/mulleinreach/cli/client.py
@@ -1,4 +1,4 @@
-"""Calls a node's interface for operators and tells the answer or the error."""
+"""Client of a node's operator API for the command line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Exit(enum.IntEnum):
-    """What the command's exit code means."""
+    """Exit codes of the command."""
 
     OK = 0
     INTERNAL = 1
@@ -48,7 +48,7 @@
 
 
 class Output(enum.StrEnum):
-    """How answers are written."""
+    """Output format."""
 
     TEXT = "text"
     JSON = "json"
@@ -56,7 +56,7 @@
 
 @dataclass
 class Connection:
-    """Which node is asked, and how the answer is written."""
+    """Connection to the operator API of one node."""
 
     server: str
     token_file: Path | None
@@ -69,7 +69,7 @@
         return {"authorization": f"Bearer {token}"}
 
     def call(self, method: str, path: str, body: dict | None = None) -> dict | list:
-        """Return the answer as JSON; on an error, tell it and exit."""
+        """Return the JSON response; on an error, print it and exit."""
         try:
             status, answer = asyncio.run(self._call(method, path, body))
         except (aiohttp.ClientError, OSError, ValueError, TimeoutError) as error:
--- a/mulleinreach/cli/main.py
+++ b/mulleinreach/cli/main.py
@@ -34,9 +34,10 @@
     str, typer.Option("--server", envvar="MULLEINREACH_SERVER", help="A node, as host:port.")
 ]
 TokenOption = Annotated[
-    Path | None, typer.Option("--token-file", help="Holds your token; else MULLEINREACH_TOKEN.")
+    Path | None,
+    typer.Option("--token-file", help="File with the token; default: MULLEINREACH_TOKEN."),
 ]
-OutputOption = Annotated[Output, typer.Option("--output", help="How to write the answer.")]
+OutputOption = Annotated[Output, typer.Option("--output", help="Output format.")]
 
 DEFAULT_SERVER = "127.0.0.1:8081"
 STOP_GRACE_S = 60.0
@@ -47,7 +48,7 @@
     settings: Annotated[Path, typer.Option(help="The node's settings file.")],
     verbosity: Annotated[int, typer.Option(help="0 for events, -1 for warnings only.")] = 0,
 ) -> None:
-    """Run a node until it gets SIGTERM or SIGINT, then stop as planned."""
+    """Run a node until SIGTERM or SIGINT, then shut down gracefully."""
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO if verbosity >= 0 else logging.WARNING)
     checked = _load_or_exit(settings, NodeSettings)
@@ -75,7 +76,7 @@
 
 @settings_app.command("check")
 def check(file: Annotated[Path, typer.Argument(help="A node's settings, or an intent.")]) -> None:
-    """Check a settings file or an intent; tells the key, the value and what is allowed."""
+    """Validate a settings file or an intent; errors name the key, the value and the reason."""
     try:
         document = parse_yaml(file.read_text(), str(file))
     except (OSError, UnicodeDecodeError, MulleinreachError) as error:
@@ -97,7 +98,7 @@
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
 ) -> None:
-    """State an intent and get a plan; nothing changes until you confirm it."""
+    """Create a plan from an intent; nothing changes until the plan is confirmed."""
     intent = _load_or_exit(file, Intent)
     connection = Connection(server, token_file, output)
     answer = connection.call("POST", "/plans", {"intent": intent.model_dump(mode="json")})
@@ -106,13 +107,13 @@
 
 @app.command()
 def drain(
-    hosts: Annotated[list[str], typer.Argument(help="Hosts that shall get no more work.")],
-    undo: Annotated[bool, typer.Option("--undo", help="Return them to work instead.")] = False,
+    hosts: Annotated[list[str], typer.Argument(help="Hosts to drain.")],
+    undo: Annotated[bool, typer.Option("--undo", help="Return the hosts to service.")] = False,
     server: ServerOption = DEFAULT_SERVER,
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
 ) -> None:
-    """Plan to drain hosts, or to return them to work; confirm the plan to do it."""
+    """Create a plan to drain hosts or to return them to service; confirm it to apply it."""
     connection = Connection(server, token_file, output)
     answer = connection.call("POST", "/plans", {"undrain" if undo else "drain": hosts})
     print_answer(answer, output, describe_plan(answer))
@@ -125,7 +126,7 @@
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
 ) -> None:
-    """Carry a plan out and wait until it is in force on every host."""
+    """Apply a plan and wait until it is in force on every host."""
     connection = Connection(server, token_file, output)
     answer = connection.call("POST", f"/plans/{plan_id}/confirm")
     print_answer(answer, output, describe_confirmation(answer))
@@ -140,7 +141,7 @@
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
 ) -> None:
-    """List what there is."""
+    """Show the configuration, or list services, replicas, hosts or nodes."""
     answer = Connection(server, token_file, output).call("GET", f"/get/{what}")
     text = describe_config(answer) if isinstance(answer, dict) else format_table(answer)
     print_answer(answer, output, text)
@@ -154,10 +155,11 @@
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
     log: Annotated[
-        Path | None, typer.Option(help="For a request: the nodes' logs instead of a live node.")
+        Path | None,
+        typer.Option(help="For a request: read this log file instead of asking a node."),
     ] = None,
 ) -> None:
-    """Tell why something is as it is, and what else was weighed."""
+    """Explain the state of a resource, and the alternatives considered."""
     if log is not None:
         _explain_from_log(kind, name, log)
         return
@@ -181,12 +183,14 @@
 
 @app.command()
 def audit(
-    everything: Annotated[bool, typer.Option("--all", help="Read the object store too.")] = False,
+    everything: Annotated[
+        bool, typer.Option("--all", help="Include entries in the object store.")
+    ] = False,
     server: ServerOption = DEFAULT_SERVER,
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
 ) -> None:
-    """List who or what changed something, and why."""
+    """List the audit entries: who changed what, and why."""
     path = "/audit?all=true" if everything else "/audit"
     answer = Connection(server, token_file, output).call("GET", path)
     print_answer(answer, output, describe_audit(answer["entries"]))
@@ -198,7 +202,7 @@
     token_file: TokenOption = None,
     output: OutputOption = Output.TEXT,
 ) -> None:
-    """Follow the state of replicas and of the configuration until interrupted."""
+    """Print state changes of replicas and of the configuration until interrupted."""
     connection = Connection(server, token_file, output)
 
     async def follow() -> None:
@@ -210,9 +214,11 @@
 
 @app.command()
 def demo(
-    stay: Annotated[bool, typer.Option("--stay", help="Keep it up and print addresses.")] = False,
+    stay: Annotated[
+        bool, typer.Option("--stay", help="Keep the deployment running and print its addresses.")
+    ] = False,
 ) -> None:
-    """Run a whole small deployment in this process and show it at work."""
+    """Run a small demo deployment in this process."""
     from mulleinreach.standins.demo import run_demo
 
     raise typer.Exit(asyncio.run(run_demo(stay)))
@@ -220,10 +226,10 @@
 
 @app.command()
 def standins(
-    directory: Annotated[Path, typer.Option(help="Where settings for the nodes are written.")],
-    nodes: Annotated[int, typer.Option(help="For how many nodes.")] = 3,
+    directory: Annotated[Path, typer.Option(help="Directory for the nodes' settings files.")],
+    nodes: Annotated[int, typer.Option(help="Number of nodes.")] = 3,
 ) -> None:
-    """Run stand-ins of the platform and of engines, for nodes that you start yourself."""
+    """Run stand-ins of the platform and of engines, for nodes started separately."""
     from mulleinreach.standins.serve import serve_standins
     from mulleinreach.standins.world import WorldSpec
 
--- a/mulleinreach/cli/show.py
+++ b/mulleinreach/cli/show.py
@@ -1,4 +1,4 @@
-"""Writes answers as text for people, or as JSON."""
+"""Formats responses as text or JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def print_answer(answer: dict | list, output: Output, text: list[str]) -> None:
-    """Write ``answer`` as JSON, or the lines of ``text``."""
+    """Print ``answer`` as JSON, or the lines of ``text``, depending on ``output``."""
     if output is Output.JSON:
         typer.echo(json.dumps(answer, indent=2))
         return
@@ -20,7 +20,7 @@
 
 
 def format_table(rows: list[dict]) -> list[str]:
-    """Return rows as lines with aligned columns.
+    """Format rows as lines with aligned columns.
 
     Examples
     ========
@@ -50,14 +50,14 @@
 
 
 def describe_plan(plan: dict) -> list[str]:
-    """Return a plan as lines."""
+    """Format a plan as lines of text."""
     lines = [f"plan {plan['id']} from intent version {plan['basis']}"]
     lines += [f"  {line}" for line in plan["lines"]]
     return lines + [f"nothing has changed; to carry it out: mulleinreach confirm {plan['id']}"]
 
 
 def describe_confirmation(answer: dict) -> list[str]:
-    """Return what a confirmation came to, as lines."""
+    """Format the result of a confirmation as lines of text."""
     if answer["accepted"]:
         state = f"in force on every host after {answer['seconds']} s"
     else:
@@ -67,7 +67,7 @@
 
 
 def describe_config(answer: dict) -> list[str]:
-    """Return the configuration as lines."""
+    """Format a configuration as lines of text."""
     lines = [
         f"version {answer['version']}: {answer['detail']}",
         f"voters: {', '.join(answer['voters']) or 'none'}",
@@ -82,7 +82,7 @@
 
 
 def describe_audit(entries: list[dict]) -> list[str]:
-    """Return audit entries as lines."""
+    """Format audit entries as lines of text."""
     lines = []
     for entry in entries:
         at = datetime.datetime.fromtimestamp(entry["at"], datetime.UTC).isoformat("T", "seconds")
