--- a/mulleinreach/requests/active.py
+++ b/mulleinreach/requests/active.py
@@ -31,12 +31,12 @@
     timeout: asyncio.Timeout
     has_begun: bool = False
     is_resumable: bool = False
-    ended_by: AttemptResult | None = None
+    abort_result: AttemptResult | None = None
 
-    def abort(self, end: AttemptResult) -> None:
+    def abort(self, result: AttemptResult) -> None:
         """End the attempt now; the task that runs it gets a ``TimeoutError``."""
-        if self.ended_by is None:
-            self.ended_by = end
+        if self.abort_result is None:
+            self.abort_result = result
             self.timeout.reschedule(asyncio.get_running_loop().time())
 
 
@@ -74,11 +74,11 @@
         """End the attempts that have to end."""
         now = self._clock.now()
         for attempt in list(self._attempts):
-            end = self._why_end(attempt, now)
-            if end is not None:
-                attempt.abort(end)
+            result = self._find_abort_result(attempt, now)
+            if result is not None:
+                attempt.abort(result)
 
-    def _why_end(self, attempt: ActiveAttempt, now: float) -> AttemptResult | None:
+    def _find_abort_result(self, attempt: ActiveAttempt, now: float) -> AttemptResult | None:
         if not self.is_whole(attempt.replica, attempt.epoch):
             return AttemptResult(End.LOST, f"{attempt.replica} is no longer whole")
         if now > attempt.deadline:
--- a/mulleinreach/requests/answers.py
+++ b/mulleinreach/requests/answers.py
@@ -31,13 +31,13 @@
     return json.dumps({**call.fields, "resume_text": text}).encode()
 
 
-async def read_bounded(response: aiohttp.ClientResponse, most: int) -> bytes:
-    """Return the whole body; raises ``ClientPayloadError`` beyond ``most`` bytes."""
+async def read_bounded(response: aiohttp.ClientResponse, max_bytes: int) -> bytes:
+    """Return the whole body; raises ``ClientPayloadError`` beyond ``max_bytes`` bytes."""
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > most:
-            raise aiohttp.ClientPayloadError(f"an answer of over {most} bytes")
+        if len(body) > max_bytes:
+            raise aiohttp.ClientPayloadError(f"an answer of over {max_bytes} bytes")
     return bytes(body)
 
 
