--- a/mulleinreach/common/calls.py
+++ b/mulleinreach/common/calls.py
@@ -60,7 +60,7 @@
         # Time of the latest response, on the loop's clock.
         self.answered_at = NEVER
 
-    async def ask(
+    async def request(
         self, method: str, url: str, timeout_s: float, is_long_poll: bool = False, **options
     ) -> HttpResponse | CallFailed:
         """Send one request and return its response, or the failure.
--- a/mulleinreach/common/checked.py
+++ b/mulleinreach/common/checked.py
@@ -28,7 +28,7 @@
     """A document doesn't match its schema; the message names the field and the reason."""
 
 
-def check(schema: type[Schema], document: object) -> Schema:
+def validate(schema: type[Schema], document: object) -> Schema:
     """Convert ``document`` to ``schema``; raises :class:`CheckError` if it doesn't match.
 
     Examples
@@ -36,9 +36,9 @@
 
     >>> class Place(msgspec.Struct):
     ...     rank: Count
-    >>> check(Place, {"rank": 2})
+    >>> validate(Place, {"rank": 2})
     Place(rank=2)
-    >>> check(Place, {"rank": "2"})
+    >>> validate(Place, {"rank": "2"})
     Traceback (most recent call last):
     ...
     mulleinreach.common.checked.CheckError: Expected `int`, got `str` - at `$.rank`
