--- a/mulleinreach/cli/main.py
+++ b/mulleinreach/cli/main.py
@@ -156,7 +156,7 @@
     output: OutputOption = Output.TEXT,
     log: Annotated[
         Path | None,
-        typer.Option(help="For a request: read this log file instead of asking a node."),
+        typer.Option(help="For a request: read a file of node logs instead of asking a node."),
     ] = None,
 ) -> None:
     """Explain the state of a resource, and the alternatives considered."""
