--- a/mulleinreach/admission/queue.py
+++ b/mulleinreach/admission/queue.py
@@ -37,7 +37,7 @@
     Parameters
     ==========
 
-    work_s : how long the request is expected to take once it has entered.
+    expected_duration_s : how long the request is expected to take once it has entered.
     """
 
     service: str
@@ -45,13 +45,13 @@
     weight: float
     priority: int
     deadline: float
-    work_s: float = 0.0
+    expected_duration_s: float = 0.0
 
 
 @dataclass
 class _Waiting:
     ticket: Ticket
-    try_enter: Callable[[], object | None]
+    try_acquire: Callable[[], object | None]
     turn: asyncio.Future
 
 
@@ -100,9 +100,9 @@
 class AdmissionQueue:
     """One queue for each service of a node."""
 
-    def __init__(self, clock: Clock, most_waiting: int):
+    def __init__(self, clock: Clock, max_waiting: int):
         self._clock = clock
-        self._most_waiting = most_waiting
+        self._most_waiting = max_waiting
         self._queues: dict[str, _ServiceQueue] = {}
         self.shed = 0
 
@@ -114,28 +114,28 @@
     async def enter(
         self,
         ticket: Ticket,
-        try_enter: Callable[[], object | None],
-        give_back: Callable[[object], None],
+        try_acquire: Callable[[], object | None],
+        release: Callable[[object], None],
     ) -> object:
-        """Return what ``try_enter`` returns once it has room, in turn.
+        """Return what ``try_acquire`` returns once it has room, in turn.
 
         Parameters
         ==========
 
-        try_enter : takes a place at a replica, or returns ``None`` if none has room.
-        give_back : returns a place that was taken for a request that has left.
+        try_acquire : takes a place at a replica, or returns ``None`` if none has room.
+        release : returns a place that was taken for a request that has left.
         """
         queue = self._queues.setdefault(ticket.service, _ServiceQueue())
         if queue.live() == 0:
-            place = try_enter()
+            place = try_acquire()
             if place is not None:
                 queue.entered.append(self._clock.now())
                 return place
         line = self._line(queue, ticket)
         self._refuse_if_hopeless(queue, line, ticket)
-        waiting = _Waiting(ticket, try_enter, asyncio.get_running_loop().create_future())
+        waiting = _Waiting(ticket, try_acquire, asyncio.get_running_loop().create_future())
         line.waiting.append(waiting)
-        return await self._wait(queue, waiting, give_back)
+        return await self._wait(queue, waiting, release)
 
     def _line(self, queue: _ServiceQueue, ticket: Ticket) -> _Line:
         key = (ticket.priority, ticket.organisation)
@@ -148,15 +148,17 @@
         return line
 
     async def _wait(
-        self, queue: _ServiceQueue, waiting: _Waiting, give_back: Callable[[object], None]
+        self, queue: _ServiceQueue, waiting: _Waiting, release: Callable[[object], None]
     ) -> object:
         turn = waiting.turn
         try:
-            async with asyncio.timeout_at(waiting.ticket.deadline - waiting.ticket.work_s):
+            async with asyncio.timeout_at(
+                waiting.ticket.deadline - waiting.ticket.expected_duration_s
+            ):
                 return await turn
         except (TimeoutError, asyncio.CancelledError) as reason:
             if turn.done() and not turn.cancelled():
-                give_back(turn.result())
+                release(turn.result())
             if isinstance(reason, asyncio.CancelledError):
                 raise
             self.shed += 1
@@ -171,7 +173,7 @@
             raise self._overloaded(queue, f"{own} of {ticket.organisation} wait already")
         rate = self._rate(queue) * share
         wait_s = (self._before(queue, ticket) + own) / rate if rate > 0 else 0.0
-        if self._clock.now() + wait_s + ticket.work_s > ticket.deadline:
+        if self._clock.now() + wait_s + ticket.expected_duration_s > ticket.deadline:
             self.shed += 1
             raise self._overloaded(queue, f"it would wait {wait_s:.1f} s")
 
@@ -204,7 +206,7 @@
             return 0.0
         return len(queue.entered) / max(0.5, now - queue.entered[0])
 
-    def pump(self, service: str) -> None:
+    def admit_waiting(self, service: str) -> None:
         """Let in those that have room now; call this when a place may have come free."""
         queue = self._queues.get(service)
         if queue is None:
@@ -215,7 +217,7 @@
                 return
             priority, line = found
             first = line.waiting[0]
-            place = first.try_enter()
+            place = first.try_acquire()
             if place is None:
                 return
             line.waiting.popleft()
@@ -224,7 +226,7 @@
             queue.entered.append(self._clock.now())
             first.turn.set_result(place)
 
-    def pump_all(self) -> None:
+    def admit_all_waiting(self) -> None:
         """Pump the queues of all services."""
         for service in list(self._queues):
-            self.pump(service)
+            self.admit_waiting(service)
--- a/mulleinreach/admission/shares.py
+++ b/mulleinreach/admission/shares.py
@@ -42,7 +42,7 @@
 
 
 @dataclass
-class OrganisationUse:
+class OrganisationUsage:
     """What one organisation does at this node."""
 
     limits: OrganisationIntent
@@ -57,14 +57,14 @@
     lent: dict[str, _Loan] = field(default_factory=dict)
 
 
-class ShareLimits:
+class DistributedLimiter:
     """Rates and concurrency of all organisations at this node."""
 
     def __init__(self, node: str, clock: Clock, rate_error: float):
         self._node = node
         self._clock = clock
         self._rate_error = rate_error
-        self._uses: dict[str, OrganisationUse] = {}
+        self._uses: dict[str, OrganisationUsage] = {}
         self._nodes = [node]
 
     def follow(self, document: ConfigDocument) -> None:
@@ -75,7 +75,7 @@
             names.add(limits.name)
             use = self._uses.get(limits.name)
             if use is None:
-                self._uses[limits.name] = OrganisationUse(limits, refilled_at=now, demand_at=now)
+                self._uses[limits.name] = OrganisationUsage(limits, refilled_at=now, demand_at=now)
                 self._uses[limits.name].tokens = self._rate(self._uses[limits.name]) * BURST_S
             else:
                 self._refill(use)
@@ -90,28 +90,28 @@
             self._refill(use)
         self._nodes = sorted(nodes) or [self._node]
 
-    def _own_rate(self, use: OrganisationUse) -> float:
+    def _own_rate(self, use: OrganisationUsage) -> float:
         return use.limits.rate / len(self._nodes)
 
-    def _own_slots(self, use: OrganisationUse) -> int:
+    def _own_slots(self, use: OrganisationUsage) -> int:
         """Return our part of the concurrency; the remainder goes to the first nodes."""
         share, rest = divmod(use.limits.concurrency, len(self._nodes))
         place = self._nodes.index(self._node) if self._node in self._nodes else len(self._nodes)
         return share + (1 if place < rest else 0)
 
-    def _rate(self, use: OrganisationUse) -> float:
+    def _rate(self, use: OrganisationUsage) -> float:
         now = self._clock.now()
         borrowed = sum(loan.rate for loan in use.borrowed.values() if now < loan.until)
         lent = sum(loan.rate for loan in use.lent.values() if now < loan.until)
         return max(0.0, self._own_rate(use) - lent) + borrowed
 
-    def _slots(self, use: OrganisationUse) -> int:
+    def _slots(self, use: OrganisationUsage) -> int:
         now = self._clock.now()
         borrowed = sum(loan.slots for loan in use.borrowed.values() if now < loan.until)
         lent = sum(loan.slots for loan in use.lent.values() if now < loan.until)
         return max(0, self._own_slots(use) - lent) + borrowed
 
-    def _refill(self, use: OrganisationUse) -> None:
+    def _refill(self, use: OrganisationUsage) -> None:
         """Add what the share earned since the last refill, exactly.
 
         Explanation
@@ -152,7 +152,7 @@
         if use is not None and use.in_flight > 0:
             use.in_flight -= 1
 
-    def _update_demand(self, use: OrganisationUse) -> None:
+    def _update_demand(self, use: OrganisationUsage) -> None:
         now = self._clock.now()
         passed_s = now - use.demand_at
         if passed_s < 0.2:
@@ -184,7 +184,7 @@
                 grants.append(self._lend_one(peer, use, demand))
         return [grant for grant in grants if grant.rate > 0 or grant.slots > 0]
 
-    def _lend_one(self, peer: str, use: OrganisationUse, demand: Demand) -> Grant:
+    def _lend_one(self, peer: str, use: OrganisationUsage, demand: Demand) -> Grant:
         now = self._clock.now()
         self._update_demand(use)
         others = max(1, len(self._nodes) - 1)
@@ -201,7 +201,7 @@
         return Grant(use.limits.name, rate, slots)
 
     def _replace_loan(
-        self, use: OrganisationUse, peer: str, rate: float, slots: int, now: float
+        self, use: OrganisationUsage, peer: str, rate: float, slots: int, now: float
     ) -> None:
         """Lend anew; what is still lent from before counts until it lapses."""
         self._refill(use)
@@ -211,7 +211,7 @@
             rate, slots = max(rate, before.rate), max(slots, before.slots)
         use.lent[peer] = _Loan(rate, slots, until)
 
-    def take_grants(self, peer: str, grants: list[Grant], asked_at: float) -> None:
+    def apply_grants(self, peer: str, grants: list[Grant], asked_at: float) -> None:
         """Use what a peer lent us, counted from before we asked."""
         granted = {grant.organisation: grant for grant in grants}
         until = asked_at + LOAN_S * (1 - self._rate_error)
--- a/mulleinreach/admission/tests/test_queue.py
+++ b/mulleinreach/admission/tests/test_queue.py
@@ -22,7 +22,7 @@
         self.free -= 1
         return "place"
 
-    def give_back(self, place):
+    def release(self, place):
         self.free += 1
 
 
@@ -34,7 +34,7 @@
     """Free one place after the other; the queue lets in whose turn it is."""
     for _ in range(count):
         places.free += 1
-        queue.pump("s")
+        queue.admit_waiting("s")
         await asyncio.sleep(0.1)
 
 
@@ -47,7 +47,7 @@
 
 def enter_all(queue, places, tickets, entered):
     async def one(t):
-        await queue.enter(t, places.take, places.give_back)
+        await queue.enter(t, places.take, places.release)
         entered.append(t.organisation)
 
     return [asyncio.create_task(one(t)) for t in tickets]
@@ -101,7 +101,7 @@
     async def scenario(queue, places):
         loop = asyncio.get_running_loop()
         with pytest.raises(MulleinreachError) as raised:
-            await queue.enter(ticket("a", deadline=loop.time() + 2), places.take, places.give_back)
+            await queue.enter(ticket("a", deadline=loop.time() + 2), places.take, places.release)
         assert raised.value.code is Code.OVERLOADED
         assert loop.time() == pytest.approx(2.0)
 
@@ -116,7 +116,7 @@
         await serve(queue, places, 10)  # ten a second
         began = asyncio.get_running_loop().time()
         with pytest.raises(MulleinreachError) as raised:
-            await queue.enter(ticket("a", deadline=began + 1), places.take, places.give_back)
+            await queue.enter(ticket("a", deadline=began + 1), places.take, places.release)
         assert raised.value.retry_after_s > 0
         assert asyncio.get_running_loop().time() == began
         for task in tasks:
@@ -130,7 +130,7 @@
         (task,) = enter_all(queue, places, [ticket("a")], [])
         await asyncio.sleep(0.1)
         places.free = 1
-        queue.pump("s")
+        queue.admit_waiting("s")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         assert places.free == 1
--- a/mulleinreach/entry/once.py
+++ b/mulleinreach/entry/once.py
@@ -13,8 +13,8 @@
     ClaimRefused,
     ClaimState,
     ClaimStore,
-    KeptAnswer,
-    Known,
+    StoredResponse,
+    AlreadyClaimed,
     claim_key,
 )
 
@@ -40,8 +40,8 @@
 async def run_once(
     claims: ClaimStore,
     request: OnceRequest,
-    run: Callable[[], Awaitable[KeptAnswer | None]],
-    replay: Callable[[KeptAnswer], Awaitable[None]],
+    run: Callable[[], Awaitable[StoredResponse | None]],
+    replay: Callable[[StoredResponse], Awaitable[None]],
 ) -> None:
     """Claim the request's key, then ``run`` it; or ``replay`` the answer it had.
 
@@ -59,7 +59,7 @@
         raise MulleinreachError(
             Code.PLATFORM_UNAVAILABLE, message, retry_after_s=REFUSED_RETRY_AFTER_S
         )
-    if isinstance(claim, Known):
+    if isinstance(claim, AlreadyClaimed):
         await _answer_known(request, claim, replay)
         return
     await _run_claimed(claims, claim, run)
@@ -77,7 +77,7 @@
     claims.settle(claim, Ran.RAN, answer)
 
 
-async def _answer_known(request: OnceRequest, known: Known, replay) -> None:
+async def _answer_known(request: OnceRequest, known: AlreadyClaimed, replay) -> None:
     record = known.record
     if record.digest != request.digest:
         message = f"the key {request.key!r} was used for a request with another content"
--- a/mulleinreach/evidence.py
+++ b/mulleinreach/evidence.py
@@ -100,9 +100,9 @@
                 node.wholeness.record_report(replica, report, asked_at)
         for host in pong.hosts:
             self._take_host(host, asked_at - host.age_ms / 1000)
-        node.shares.take_grants(peer, pong.grants, asked_at)
+        node.shares.apply_grants(peer, pong.grants, asked_at)
         self._peer_leaving[peer] = (set(pong.leaving_hosts), asked_at)
-        node.queue.pump_all()
+        node.queue.admit_all_waiting()
 
     def _take_host(self, report: HostReport, seen_at: float) -> None:
         known = self._peer_hosts.get(report.host)
--- a/mulleinreach/node.py
+++ b/mulleinreach/node.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from mulleinreach.admission import AdmissionQueue, KeyTable, ShareLimits
+from mulleinreach.admission import AdmissionQueue, KeyTable, DistributedLimiter
 from mulleinreach.audit import AuditTrail
 from mulleinreach.common import Address, Clock, EventLog, Network, TaskGroup, repeat
 from mulleinreach.entry.callers import CallerInterface, CallerParts
@@ -119,7 +119,7 @@
             self.directory.is_gone,
         )
         self.keys = KeyTable()
-        self.shares = ShareLimits(self.name, self.clock, timing.clock_rate_error)
+        self.shares = DistributedLimiter(self.name, self.clock, timing.clock_rate_error)
         self.force.listeners += [self.keys.follow, self.shares.follow]
         self.wholeness = ReplicaHealthTracker(self.clock, timing.whole_fresh_s)
         self.replicas = ReplicaTable(
@@ -306,7 +306,7 @@
 
     async def _sweep(self) -> None:
         self.active.sweep()
-        self.queue.pump_all()
+        self.queue.admit_all_waiting()
 
     # What the slices ask about the node.
 
--- a/mulleinreach/requests/active.py
+++ b/mulleinreach/requests/active.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock
-from mulleinreach.requests.call import AttemptEnd, End
+from mulleinreach.requests.call import AttemptResult, End
 
 
 @dataclass(eq=False)
@@ -31,9 +31,9 @@
     timeout: asyncio.Timeout
     has_begun: bool = False
     is_resumable: bool = False
-    ended_by: AttemptEnd | None = None
+    ended_by: AttemptResult | None = None
 
-    def abort(self, end: AttemptEnd) -> None:
+    def abort(self, end: AttemptResult) -> None:
         """End the attempt now; the task that runs it gets a ``TimeoutError``."""
         if self.ended_by is None:
             self.ended_by = end
@@ -78,15 +78,15 @@
             if end is not None:
                 attempt.abort(end)
 
-    def _why_end(self, attempt: ActiveAttempt, now: float) -> AttemptEnd | None:
+    def _why_end(self, attempt: ActiveAttempt, now: float) -> AttemptResult | None:
         if not self.is_whole(attempt.replica, attempt.epoch):
-            return AttemptEnd(End.LOST, f"{attempt.replica} is no longer whole")
+            return AttemptResult(End.LOST, f"{attempt.replica} is no longer whole")
         if now > attempt.deadline:
-            return AttemptEnd(End.FAILED, "the request's deadline passed")
+            return AttemptResult(End.FAILED, "the request's deadline passed")
         silent_s = now - attempt.progress_at
         limit_s = self._token_gap_s if attempt.has_begun else self._first_token_s
         if silent_s > limit_s:
-            return AttemptEnd(End.FAILED, f"{attempt.replica} was silent for {silent_s:.1f} s")
+            return AttemptResult(End.FAILED, f"{attempt.replica} was silent for {silent_s:.1f} s")
         if attempt.is_resumable and self._must_move(attempt.replica):
-            return AttemptEnd(End.MOVED, f"{attempt.replica} is draining, near its deadline")
+            return AttemptResult(End.MOVED, f"{attempt.replica} is draining, near its deadline")
         return None
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
+class StoredResponse:
     """A short answer, kept so that the same key gets it again."""
 
     status: int
@@ -75,14 +75,14 @@
     digest: str
     state: ClaimState
     at: float
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
     @classmethod
     def from_value(cls, value: dict) -> ClaimRecord:
         """Read a row's value."""
         answer = value.get("answer")
         typed = {**value, "state": ClaimState(value["state"])}
-        typed["answer"] = KeptAnswer(**answer) if answer else None
+        typed["answer"] = StoredResponse(**answer) if answer else None
         return cls(**typed)
 
 
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class Known:
+class AlreadyClaimed:
     """Another request holds the key; it isn't run again."""
 
     record: ClaimRecord
@@ -162,7 +162,9 @@
         """End at once, as a crash would."""
         await self._tasks.close()
 
-    async def claim(self, key: str, request_id: str, digest: str) -> Claim | Known | ClaimRefused:
+    async def claim(
+        self, key: str, request_id: str, digest: str
+    ) -> Claim | AlreadyClaimed | ClaimRefused:
         """Claim ``key`` for a request; only a :class:`Claim` may be sent upstream.
 
         Explanation
@@ -182,7 +184,9 @@
         if not task.cancelled() and isinstance(task.result(), Claim):
             self.settle(task.result(), Ran.NOT_RUN)
 
-    async def _claim(self, key: str, request_id: str, digest: str) -> Claim | Known | ClaimRefused:
+    async def _claim(
+        self, key: str, request_id: str, digest: str
+    ) -> Claim | AlreadyClaimed | ClaimRefused:
         version = ABSENT
         while True:
             record = self._new_record(request_id, digest)
@@ -198,7 +202,7 @@
                 return ClaimRefused("the claim's row changed while it was written")
             known = ClaimRecord.from_value(held.value)
             if known.state is not ClaimState.NOT_RUN or known.digest != digest:
-                return Known(await self._await_outcome(key, known))
+                return AlreadyClaimed(await self._await_outcome(key, known))
             version = held.version
 
     async def _await_outcome(self, key: str, known: ClaimRecord) -> ClaimRecord:
@@ -218,7 +222,7 @@
 
     async def _read_back(
         self, key: str, version: int, record: ClaimRecord, reason: str
-    ) -> Claim | Known | ClaimRefused:
+    ) -> Claim | AlreadyClaimed | ClaimRefused:
         """Settle a claim whose answer was lost, by what the table holds."""
         row = await self._table.get(key)
         if isinstance(row, Row) and row.value is not None:
@@ -226,7 +230,7 @@
             if found.token == record.token:
                 return Claim(key, row.version, record)
             if found.state is not ClaimState.NOT_RUN:
-                return Known(found)
+                return AlreadyClaimed(found)
         self._tasks.spawn(self._release(key, version, record))
         return ClaimRefused(reason)
 
@@ -254,7 +258,7 @@
                     return
             await asyncio.sleep(RELEASE_INTERVAL_S)
 
-    def settle(self, claim: Claim, ran: Ran, answer: KeptAnswer | None = None) -> None:
+    def settle(self, claim: Claim, ran: Ran, answer: StoredResponse | None = None) -> None:
         """Write the outcome of a claimed request, in the background."""
         if answer is not None and len(answer.body) > MAX_KEPT_ANSWER_BYTES:
             answer = None
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -22,9 +22,21 @@
 from mulleinreach.admission import AdmissionQueue, Ticket
 from mulleinreach.common import Clock, Code, EventLog, MulleinreachError, Ran
 from mulleinreach.requests.active import ActiveAttempt, ActiveAttempts
-from mulleinreach.requests.answers import judge_head, move_kv, read_bounded, with_resume_text
+from mulleinreach.requests.answers import (
+    check_response_status,
+    transfer_kv_cache,
+    read_bounded,
+    build_resume_body,
+)
 from mulleinreach.requests.budget import RetryBudget
-from mulleinreach.requests.call import AttemptEnd, Attempts, End, ModelCall, Sink, WholeAnswer
+from mulleinreach.requests.call import (
+    AttemptResult,
+    AttemptHistory,
+    End,
+    ModelCall,
+    Sink,
+    CompleteResponse,
+)
 from mulleinreach.requests.journal import RequestJournal
 from mulleinreach.requests.stream import OrderedStream, StreamError
 from mulleinreach.routing import Candidate, ReplicaTable, Router
@@ -55,7 +67,7 @@
 class PlaceUse:
     """How the attempt that holds a place ended; ``None`` if it was cancelled."""
 
-    end: AttemptEnd | None = None
+    end: AttemptResult | None = None
 
 
 class ModelRunner:
@@ -92,7 +104,7 @@
     async def stream(self, call: ModelCall, sink: Sink) -> None:
         """Deliver a streamed answer whole, or raise; what was delivered is never repeated."""
         stream = OrderedStream(call.request_id, self._resume_bytes)
-        attempts = Attempts()
+        attempts = AttemptHistory()
         self._budget.earn()
         place: Candidate | None = None
         try:
@@ -107,9 +119,9 @@
             self.metrics.foreign_events += stream.counts.foreign
             self.metrics.duplicate_events += stream.counts.duplicates
 
-    async def whole(self, call: ModelCall) -> WholeAnswer:
+    async def whole(self, call: ModelCall) -> CompleteResponse:
         """Return the whole answer, or raise."""
-        attempts = Attempts()
+        attempts = AttemptHistory()
         self._budget.earn()
         place: Candidate | None = None
         while True:
@@ -132,14 +144,14 @@
     async def _next_place(
         self,
         call: ModelCall,
-        attempts: Attempts,
+        attempts: AttemptHistory,
         last: Candidate | None,
         stream: OrderedStream | None,
     ) -> Candidate:
         attempts.count += 1
         if last is not None and self._may_resume_on(last, attempts, stream):
             self._replicas.note_sent(last.replica)
-            self._journal.note(call.story, f"resume on {last.replica}, which has the stream")
+            self._journal.note(call.trace, f"resume on {last.replica}, which has the stream")
             return last
         await self._await_candidates(call, attempts)
         ticket = Ticket(
@@ -158,12 +170,12 @@
             )
         except MulleinreachError as error:
             raise self._final(call, attempts, error) from None
-        if self._clock.now() - call.story.began_at > NO_REPLICA_POLL_S:
-            self._journal.note(call.story, "left the queue")
+        if self._clock.now() - call.trace.began_at > NO_REPLICA_POLL_S:
+            self._journal.note(call.trace, "left the queue")
         return place
 
     def _may_resume_on(
-        self, last: Candidate, attempts: Attempts, stream: OrderedStream | None
+        self, last: Candidate, attempts: AttemptHistory, stream: OrderedStream | None
     ) -> bool:
         """Whether to go on where the stream was cut: once, if the replica is whole."""
         if stream is None or stream.next_position == 0 or attempts.ends[-1].end is not End.FAILED:
@@ -172,7 +184,7 @@
             return False
         return self._active.is_whole(last.replica, last.epoch)
 
-    async def _await_candidates(self, call: ModelCall, attempts: Attempts) -> None:
+    async def _await_candidates(self, call: ModelCall, attempts: AttemptHistory) -> None:
         give_up_at = min(call.deadline, self._clock.now() + NO_REPLICA_WAIT_S)
         while not self._replicas.candidates(call.service.name):
             if self._clock.now() >= give_up_at:
@@ -183,7 +195,7 @@
                 raise self._final(call, attempts, error)
             await asyncio.sleep(NO_REPLICA_POLL_S)
 
-    def _take_place(self, call: ModelCall, attempts: Attempts) -> Candidate | None:
+    def _take_place(self, call: ModelCall, attempts: AttemptHistory) -> Candidate | None:
         """Choose a replica with room and count the request in; ``None`` if none has."""
         usable = self._replicas.candidates(call.service.name)
         fresh = [c for c in usable if c.replica not in attempts.failed_replicas]
@@ -193,7 +205,7 @@
         self._replicas.note_sent(choice.candidate.replica)
         place = choice.candidate
         self._journal.note(
-            call.story,
+            call.trace,
             f"attempt {attempts.count} to {place.replica} (epoch {place.epoch}): {choice.why}",
         )
         return place
@@ -207,7 +219,7 @@
         finally:
             failed = use.end is not None and use.end.is_failure
             self._replicas.note_finished(place.replica, failed)
-            self._queue.pump(call.service.name)
+            self._queue.admit_waiting(call.service.name)
 
     # One attempt.
 
@@ -225,20 +237,20 @@
         self,
         call: ModelCall,
         place: Candidate,
-        attempts: Attempts,
+        attempts: AttemptHistory,
         stream: OrderedStream,
         sink: Sink,
-    ) -> AttemptEnd:
+    ) -> AttemptResult:
         headers = self._headers(call, place, attempts.count)
         body = call.body
         if stream.next_position > 0:
             last = f"{call.request_id}/{attempts.count}:{stream.next_position - 1}"
             headers["last-event-id"] = last
-            body = with_resume_text(call, stream)
+            body = build_resume_body(call, stream)
             self.metrics.resumes += 1
         stream.begin_attempt(attempts.count)
 
-        async def relay(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptEnd:
+        async def relay(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptResult:
             loop = asyncio.get_running_loop()
             async for chunk in response.content.iter_any():
                 active.progress_at = loop.time()
@@ -247,35 +259,35 @@
                 if ready:
                     await sink.write(ready)
                 if stream.is_done:
-                    return AttemptEnd(End.DONE, "complete")
-            return AttemptEnd(End.FAILED, f"the stream ended at position {stream.next_position}")
+                    return AttemptResult(End.DONE, "complete")
+            return AttemptResult(End.FAILED, f"the stream ended at position {stream.next_position}")
 
         resumable = not call.once_only
         return await self._attempt(call, place, headers, body, relay, resumable)
 
     async def _try_whole(
-        self, call: ModelCall, place: Candidate, attempts: Attempts
-    ) -> tuple[AttemptEnd, WholeAnswer | None]:
+        self, call: ModelCall, place: Candidate, attempts: AttemptHistory
+    ) -> tuple[AttemptResult, CompleteResponse | None]:
         headers = self._headers(call, place, attempts.count)
         expected_id = f"{call.request_id}/{attempts.count}"
-        answers: list[WholeAnswer] = []
+        answers: list[CompleteResponse] = []
 
-        async def read(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptEnd:
+        async def read(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptResult:
             body = await read_bounded(response, self._answer_bytes)
             if response.headers.get("x-request-id") != expected_id:
                 self.metrics.foreign_events += 1
-                return AttemptEnd(End.FAILED, "the answer is to another request")
+                return AttemptResult(End.FAILED, "the answer is to another request")
             try:
                 json.loads(body)
             except ValueError:
-                return AttemptEnd(End.FAILED, "the answer is not JSON")
-            answers.append(WholeAnswer(200, "application/json", body))
-            return AttemptEnd(End.DONE, "complete")
+                return AttemptResult(End.FAILED, "the answer is not JSON")
+            answers.append(CompleteResponse(200, "application/json", body))
+            return AttemptResult(End.DONE, "complete")
 
         end = await self._attempt(call, place, headers, call.body, read, resumable=False)
         return end, answers[0] if answers else None
 
-    async def _attempt(self, call, place, headers, body, consume, resumable: bool) -> AttemptEnd:
+    async def _attempt(self, call, place, headers, body, consume, resumable: bool) -> AttemptResult:
         """Send the request once and let ``consume`` read the answer."""
         self.metrics.attempts += 1
         timeout = asyncio.timeout(None)
@@ -293,15 +305,15 @@
             async with timeout:
                 url = place.address.url + call.path
                 async with self._session.post(url, data=body, headers=headers) as response:
-                    end = judge_head(response)
+                    end = check_response_status(response)
                     return end or await consume(response, active)
         except NOT_SENT_ERRORS as error:
-            return AttemptEnd(End.NOT_SENT, f"{place.replica} was not reached: {error}")
+            return AttemptResult(End.NOT_SENT, f"{place.replica} was not reached: {error}")
         except TimeoutError as error:
             # Before OSError, which it is a kind of: the sweep ends attempts so.
-            return active.ended_by or AttemptEnd(End.FAILED, f"timed out: {error}")
+            return active.ended_by or AttemptResult(End.FAILED, f"timed out: {error}")
         except (*SENT_ERRORS, StreamError) as error:
-            return AttemptEnd(End.FAILED, f"{type(error).__name__}: {error}")
+            return AttemptResult(End.FAILED, f"{type(error).__name__}: {error}")
         finally:
             self._active.discard(active)
 
@@ -311,13 +323,13 @@
         self,
         call: ModelCall,
         place: Candidate,
-        attempts: Attempts,
-        end: AttemptEnd,
+        attempts: AttemptHistory,
+        end: AttemptResult,
         stream: OrderedStream | None,
     ) -> None:
         """Note the end; raise the final error unless another attempt may follow."""
         failed = end.is_failure
-        self._journal.note(call.story, f"attempt {attempts.count} ended: {end.end}, {end.reason}")
+        self._journal.note(call.trace, f"attempt {attempts.count} ended: {end.end}, {end.reason}")
         if not failed:
             if end.end is End.MOVED:
                 attempts.note(place.replica, end)
@@ -332,12 +344,16 @@
         )
         refusal = self._why_no_retry(call, attempts, end, stream)
         if refusal is not None:
-            self._journal.note(call.story, f"given up: {refusal}")
+            self._journal.note(call.trace, f"given up: {refusal}")
             raise self._final(call, attempts, None, f"{end.reason}; {refusal}")
         self.metrics.retries += 1
 
     def _why_no_retry(
-        self, call: ModelCall, attempts: Attempts, end: AttemptEnd, stream: OrderedStream | None
+        self,
+        call: ModelCall,
+        attempts: AttemptHistory,
+        end: AttemptResult,
+        stream: OrderedStream | None,
     ) -> str | None:
         if attempts.count >= MAX_ATTEMPTS:
             return f"{attempts.count} attempts were made"
@@ -358,7 +374,7 @@
     def _final(
         self,
         call: ModelCall,
-        attempts: Attempts,
+        attempts: AttemptHistory,
         error: MulleinreachError | None,
         reason: str = "",
     ) -> MulleinreachError:
@@ -370,7 +386,7 @@
         error.ran = Ran.UNKNOWN if attempts.may_have_run else Ran.NOT_RUN
         if error.ran is Ran.UNKNOWN and call.once_only:
             error.retry_after_s = None
-        self._journal.note(call.story, f"told {error.code}, {error.ran}: {error.message}")
+        self._journal.note(call.trace, f"told {error.code}, {error.ran}: {error.message}")
         return error
 
     async def _move_kv(self, call: ModelCall, source: Candidate | None, target: Candidate) -> None:
@@ -378,7 +394,9 @@
         if source is None:
             return
         self.metrics.moves += 1
-        is_moved = await move_kv(self._session, source.address, target.address, call.request_id)
+        is_moved = await transfer_kv_cache(
+            self._session, source.address, target.address, call.request_id
+        )
         how = "with" if is_moved else "without"
         note = f"moved from {source.replica} to {target.replica} {how} its KV cache"
-        self._journal.note(call.story, note)
+        self._journal.note(call.trace, note)
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -65,7 +65,7 @@
     nodes: int = 1
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether the replica may be sent one more.
 
         Explanation
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -56,7 +56,7 @@
         candidates : all replicas that may be sent work, full ones too.
         key : what should stay together; empty for no preference.
         """
-        roomy = [candidate for candidate in candidates if candidate.has_room]
+        roomy = [candidate for candidate in candidates if candidate.has_capacity]
         if not roomy:
             return None
         if not key or len(roomy) == 1:
