--- a/mulleinreach/entry/callers.py
+++ b/mulleinreach/entry/callers.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 from prometheus_client import CollectorRegistry, generate_latest
 
-from mulleinreach.admission import KeyTable, DistributedLimiter
+from mulleinreach.admission import DistributedLimiter, KeyTable
 from mulleinreach.common import Clock, Code, EventLog, MulleinreachError
 from mulleinreach.entry.once import OnceRequest, run_once
 from mulleinreach.entry.parsing import (
--- a/mulleinreach/entry/once.py
+++ b/mulleinreach/entry/once.py
@@ -9,12 +9,12 @@
 
 from mulleinreach.common import Code, MulleinreachError, Ran
 from mulleinreach.requests.claims import (
+    AlreadyClaimed,
     Claim,
     ClaimRefused,
     ClaimState,
     ClaimStore,
     StoredResponse,
-    AlreadyClaimed,
     claim_key,
 )
 
--- a/mulleinreach/node.py
+++ b/mulleinreach/node.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from mulleinreach.admission import AdmissionQueue, KeyTable, DistributedLimiter
+from mulleinreach.admission import AdmissionQueue, DistributedLimiter, KeyTable
 from mulleinreach.audit import AuditTrail
 from mulleinreach.common import Address, Clock, EventLog, Network, TaskGroup, repeat
 from mulleinreach.entry.callers import CallerInterface, CallerParts
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -23,19 +23,19 @@
 from mulleinreach.common import Clock, Code, EventLog, MulleinreachError, Ran
 from mulleinreach.requests.active import ActiveAttempt, ActiveAttempts
 from mulleinreach.requests.answers import (
+    build_resume_body,
     check_response_status,
-    transfer_kv_cache,
     read_bounded,
-    build_resume_body,
+    transfer_kv_cache,
 )
 from mulleinreach.requests.budget import RetryBudget
 from mulleinreach.requests.call import (
-    AttemptResult,
     AttemptHistory,
+    AttemptResult,
+    CompleteResponse,
     End,
     ModelCall,
     Sink,
-    CompleteResponse,
 )
 from mulleinreach.requests.journal import RequestJournal
 from mulleinreach.requests.stream import OrderedStream, StreamError
