--- a/mulleinreach/admission/__init__.py
+++ b/mulleinreach/admission/__init__.py
@@ -4,4 +4,4 @@
 from mulleinreach.admission.queue import AdmissionQueue, Ticket
 from mulleinreach.admission.shares import DistributedLimiter
 
-__all__ = ["AdmissionQueue", "KeyTable", "ShareLimits", "Ticket", "hash_key"]
+__all__ = ["AdmissionQueue", "DistributedLimiter", "KeyTable", "Ticket", "hash_key"]
--- a/mulleinreach/entry/once.py
+++ b/mulleinreach/entry/once.py
@@ -69,12 +69,12 @@
     try:
         answer = await run()
     except MulleinreachError as error:
-        claims.settle(claim, error.ran)
+        claims.record_outcome(claim, error.ran)
         raise
     except (Exception, asyncio.CancelledError):
-        claims.settle(claim, Ran.UNKNOWN)
+        claims.record_outcome(claim, Ran.UNKNOWN)
         raise
-    claims.settle(claim, Ran.RAN, answer)
+    claims.record_outcome(claim, Ran.RAN, answer)
 
 
 async def _answer_known(request: OnceRequest, known: AlreadyClaimed, replay) -> None:
--- a/mulleinreach/requests/answers.py
+++ b/mulleinreach/requests/answers.py
@@ -8,7 +8,7 @@
 import aiohttp
 
 from mulleinreach.common import Address
-from mulleinreach.requests.call import AttemptResult, End, ModelCall
+from mulleinreach.requests.call import AttemptOutcome, AttemptResult, ModelCall
 from mulleinreach.requests.stream import OrderedStream
 
 KV_TIMEOUT_S = 2.0
@@ -19,8 +19,10 @@
     if response.status == 200:
         return None
     if response.headers.get("x-ran") == "not_run":
-        return AttemptResult(End.REFUSED, f"the upstream refused it, status {response.status}")
-    return AttemptResult(End.FAILED, f"the upstream answered status {response.status}")
+        return AttemptResult(
+            AttemptOutcome.REFUSED, f"the upstream refused it, status {response.status}"
+        )
+    return AttemptResult(AttemptOutcome.FAILED, f"the upstream answered status {response.status}")
 
 
 def build_resume_body(call: ModelCall, stream: OrderedStream) -> bytes:
@@ -31,13 +33,13 @@
     return json.dumps({**call.fields, "resume_text": text}).encode()
 
 
-async def read_bounded(response: aiohttp.ClientResponse, most: int) -> bytes:
-    """Return the whole body; raises ``ClientPayloadError`` beyond ``most`` bytes."""
+async def read_bounded(response: aiohttp.ClientResponse, max_bytes: int) -> bytes:
+    """Return the whole body; raises ``ClientPayloadError`` beyond ``max_bytes`` bytes."""
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > most:
-            raise aiohttp.ClientPayloadError(f"an answer of over {most} bytes")
+        if len(body) > max_bytes:
+            raise aiohttp.ClientPayloadError(f"an answer of over {max_bytes} bytes")
     return bytes(body)
 
 
--- a/mulleinreach/requests/call.py
+++ b/mulleinreach/requests/call.py
@@ -41,7 +41,7 @@
         return bool(self.fields.get("stream"))
 
 
-class End(enum.StrEnum):
+class AttemptOutcome(enum.StrEnum):
     """How an attempt ended.
 
     Explanation
@@ -63,18 +63,18 @@
 class AttemptResult:
     """The end of one attempt, and why."""
 
-    end: End
+    outcome: AttemptOutcome
     reason: str
 
     @property
     def may_have_run(self) -> bool:
         """Whether the upstream may have run the request in this attempt."""
-        return self.end not in (End.NOT_SENT, End.REFUSED)
+        return self.outcome not in (AttemptOutcome.NOT_SENT, AttemptOutcome.REFUSED)
 
     @property
     def is_failure(self) -> bool:
         """Whether the attempt neither completed nor was moved on purpose."""
-        return self.end not in (End.DONE, End.MOVED)
+        return self.outcome not in (AttemptOutcome.DONE, AttemptOutcome.MOVED)
 
 
 @dataclass(frozen=True)
@@ -106,12 +106,12 @@
 
     count: int = 0
     may_have_run: bool = False
-    ends: list[AttemptResult] = field(default_factory=list)
+    results: list[AttemptResult] = field(default_factory=list)
     failed_replicas: set[str] = field(default_factory=set)
 
-    def note(self, replica: str, end: AttemptResult) -> None:
+    def note(self, replica: str, result: AttemptResult) -> None:
         """Add the end of an attempt."""
-        self.ends.append(end)
-        self.may_have_run = self.may_have_run or end.may_have_run
-        if end.end is not End.MOVED:
+        self.results.append(result)
+        self.may_have_run = self.may_have_run or result.may_have_run
+        if result.outcome is not AttemptOutcome.MOVED:
             self.failed_replicas.add(replica)
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -38,11 +38,11 @@
 )
 
 CLAIMS_PREFIX = "claims/"
-MAX_KEPT_ANSWER_BYTES = 4096
-MAX_PENDING = 10_000
-MAX_BATCH = 200
-RELEASE_TRIES = 600
-RELEASE_INTERVAL_S = 1.0
+MAX_STORED_RESPONSE_BYTES = 4096
+MAX_PENDING_WRITES = 10_000
+MAX_BATCH_WRITES = 200
+MAX_WRITE_TRIES = 600
+WRITE_RETRY_INTERVAL_S = 1.0
 RETENTION_S = 86_400.0
 OUTCOME_WAIT_S = 1.0
 OUTCOME_POLL_S = 0.25
@@ -110,7 +110,7 @@
 
 
 @dataclass
-class _Pending:
+class _PendingWrite:
     """A write that waits for the next transaction."""
 
     key: str
@@ -144,7 +144,7 @@
         self._clock = clock
         self._log = log
         self._interval_s = interval_s
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingWrite] = []
         self._wake = asyncio.Event()
         self._tasks = TaskGroup()
         self._tokens = 0
@@ -177,12 +177,12 @@
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            task.add_done_callback(self._settle_abandoned)
+            task.add_done_callback(self._record_cancelled)
             raise
 
-    def _settle_abandoned(self, task: asyncio.Task) -> None:
+    def _record_cancelled(self, task: asyncio.Task) -> None:
         if not task.cancelled() and isinstance(task.result(), Claim):
-            self.settle(task.result(), Ran.NOT_RUN)
+            self.record_outcome(task.result(), Ran.NOT_RUN)
 
     async def _claim(
         self, key: str, request_id: str, digest: str
@@ -245,7 +245,7 @@
         landed, its token is found. In any other case it can't land any more.
         """
         released = replace(record, state=ClaimState.NOT_RUN)
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_WRITE_TRIES):
             row = await self._table.get(key)
             if isinstance(row, Row):
                 landed = row.value is not None and row.value["token"] == record.token
@@ -256,29 +256,29 @@
                 if isinstance(result, Committed):
                     self._log.event("claim_released", request=record.request_id)
                     return
-            await asyncio.sleep(RELEASE_INTERVAL_S)
+            await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
-    def settle(self, claim: Claim, ran: Ran, answer: StoredResponse | None = None) -> None:
+    def record_outcome(self, claim: Claim, ran: Ran, answer: StoredResponse | None = None) -> None:
         """Write the outcome of a claimed request, in the background."""
-        if answer is not None and len(answer.body) > MAX_KEPT_ANSWER_BYTES:
+        if answer is not None and len(answer.body) > MAX_STORED_RESPONSE_BYTES:
             answer = None
         record = replace(claim.record, state=ClaimState(str(ran)), answer=answer)
-        self._tasks.spawn(self._settle(claim, record))
+        self._tasks.spawn(self._write_outcome(claim, record))
 
-    async def _settle(self, claim: Claim, record: ClaimRecord) -> None:
-        for _ in range(RELEASE_TRIES):
+    async def _write_outcome(self, claim: Claim, record: ClaimRecord) -> None:
+        for _ in range(MAX_WRITE_TRIES):
             result = await self._write(claim.key, claim.version, record)
             # A conflict means that an earlier try was carried out after all:
             # no one else writes a row that holds our token.
             if isinstance(result, Committed | Conflict):
                 return
-            await asyncio.sleep(RELEASE_INTERVAL_S)
+            await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
         self._log.event("claim_outcome_lost", request=record.request_id, state=record.state)
 
     async def _write(self, key: str, version: int, record: ClaimRecord) -> TransactionResult:
-        if len(self._pending) >= MAX_PENDING:
-            return Unavailable(f"{MAX_PENDING} claims are waiting already")
-        pending = _Pending(key, version, record)
+        if len(self._pending) >= MAX_PENDING_WRITES:
+            return Unavailable(f"{MAX_PENDING_WRITES} claims are waiting already")
+        pending = _PendingWrite(key, version, record)
         self._pending.append(pending)
         self._wake.set()
         return await pending.result
@@ -304,19 +304,19 @@
             _resolve([p for p in batch if p.key in conflicting], result)
             batch = [p for p in batch if p.key not in conflicting]
 
-    def _take_batch(self) -> list[_Pending]:
+    def _take_batch(self) -> list[_PendingWrite]:
         """Take pending writes, one for each row; others of the row wait a turn."""
-        batch, later, keys = [], [], set()
+        batch, deferred, keys = [], [], set()
         for pending in self._pending:
             if pending.result.done():
                 continue
-            if pending.key in keys or len(batch) >= MAX_BATCH:
-                later.append(pending)
+            if pending.key in keys or len(batch) >= MAX_BATCH_WRITES:
+                deferred.append(pending)
             else:
                 keys.add(pending.key)
                 batch.append(pending)
-        self._pending = later
-        if later:
+        self._pending = deferred
+        if deferred:
             self._wake.set()
         return batch
 
@@ -334,7 +334,7 @@
         return len(old) if isinstance(result, Committed) else 0
 
 
-def _resolve(batch: list[_Pending], result: TransactionResult) -> None:
+def _resolve(batch: list[_PendingWrite], result: TransactionResult) -> None:
     for pending in batch:
         if not pending.result.done():
             pending.result.set_result(result)
--- a/mulleinreach/requests/journal.py
+++ b/mulleinreach/requests/journal.py
@@ -29,17 +29,17 @@
 class RequestJournal:
     """The stories of the latest requests; the oldest are forgotten first."""
 
-    def __init__(self, clock: Clock, most: int):
+    def __init__(self, clock: Clock, max_requests: int):
         self._clock = clock
-        self._most = most
-        self._stories: OrderedDict[str, RequestTrace] = OrderedDict()
+        self._max_requests = max_requests
+        self._traces: OrderedDict[str, RequestTrace] = OrderedDict()
 
     def open(self, request_id: str, organisation: str, service: str) -> RequestTrace:
         """Begin the story of a request."""
         trace = RequestTrace(request_id, organisation, service, self._clock.now())
-        self._stories[request_id] = trace
-        if len(self._stories) > self._most:
-            self._stories.popitem(last=False)
+        self._traces[request_id] = trace
+        if len(self._traces) > self._max_requests:
+            self._traces.popitem(last=False)
         return trace
 
     def note(self, trace: RequestTrace, text: str) -> None:
@@ -52,7 +52,7 @@
 
     def get(self, request_id: str) -> RequestTrace | None:
         """Return the story of a request, if it isn't forgotten."""
-        return self._stories.get(request_id)
+        return self._traces.get(request_id)
 
     def __len__(self) -> int:
-        return len(self._stories)
+        return len(self._traces)
