--- a/mulleinreach/entry/once.py
+++ b/mulleinreach/entry/once.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from mulleinreach.common import Code, MulleinreachError, Ran
+from mulleinreach.common import Code, ExecutionStatus, MulleinreachError
 from mulleinreach.requests.claims import (
     AlreadyClaimed,
     Claim,
@@ -72,9 +72,9 @@
         claims.record_outcome(claim, error.ran)
         raise
     except (Exception, asyncio.CancelledError):
-        claims.record_outcome(claim, Ran.UNKNOWN)
+        claims.record_outcome(claim, ExecutionStatus.UNKNOWN)
         raise
-    claims.record_outcome(claim, Ran.RAN, answer)
+    claims.record_outcome(claim, ExecutionStatus.RAN, answer)
 
 
 async def _answer_known(request: OnceRequest, known: AlreadyClaimed, replay) -> None:
@@ -85,6 +85,6 @@
     if record.answer is not None:
         await replay(record.answer)
         return
-    ran = Ran.RAN if record.state is ClaimState.RAN else Ran.UNKNOWN
+    ran = ExecutionStatus.RAN if record.state is ClaimState.RAN else ExecutionStatus.UNKNOWN
     message = f"the key {request.key!r} was used by request {record.request_id}: {record.state}"
     raise MulleinreachError(Code.ALREADY_CLAIMED, message, ran=ran)
--- a/mulleinreach/entry/relay.py
+++ b/mulleinreach/entry/relay.py
@@ -7,7 +7,7 @@
 import aiohttp
 from aiohttp import web
 
-from mulleinreach.common import Code, MulleinreachError, Ran
+from mulleinreach.common import Code, ExecutionStatus, MulleinreachError
 from mulleinreach.requests.call import CallerDisconnected
 from mulleinreach.requests.claims import StoredResponse
 from mulleinreach.requests.plain import PlainCall, filter_hop_headers
@@ -86,7 +86,9 @@
             if request.transport is not None:
                 request.transport.abort()
             raise CallerDisconnected("the upstream's answer broke off") from error
-        raise MulleinreachError(Code.UPSTREAM_FAILED, str(error), ran=Ran.UNKNOWN) from error
+        raise MulleinreachError(
+            Code.UPSTREAM_FAILED, str(error), ran=ExecutionStatus.UNKNOWN
+        ) from error
     if not has_begun:
         await _prepare(response, request)
     await response.write_eof()
--- a/mulleinreach/evidence.py
+++ b/mulleinreach/evidence.py
@@ -187,7 +187,7 @@
 
     def _watched_groups(self) -> list[GroupRecord]:
         """Return the groups that this node watches."""
-        nodes = self._node.roster.live_names()
+        nodes = self._node.roster.live_node_names()
         basis = (self._node.replicas.changes, tuple(nodes))
         if basis != self._watched_basis:
             # Ranking every replica over all nodes is too much for each pong.
@@ -205,7 +205,7 @@
         groups = self._watched_groups()
         grouped = {host for group in node.replicas.all_groups() for host in group.hosts}
         watched = {host for group in groups for host in group.hosts}
-        nodes = node.roster.live_names()
+        nodes = node.roster.live_node_names()
         for host in node.directory.of_kind(HostKind.ENGINE):
             is_ours = host.name not in grouped and node.name in watchers_of(host.name, nodes)
             if is_ours or (node.lease.is_held() and self._is_unreported(host.name)):
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -22,7 +22,7 @@
 import hashlib
 from dataclasses import asdict, dataclass, field, replace
 
-from mulleinreach.common import Clock, EventLog, Ran, TaskGroup
+from mulleinreach.common import Clock, EventLog, ExecutionStatus, TaskGroup
 from mulleinreach.stores import (
     ABSENT,
     Committed,
@@ -182,7 +182,7 @@
 
     def _record_cancelled(self, task: asyncio.Task) -> None:
         if not task.cancelled() and isinstance(task.result(), Claim):
-            self.record_outcome(task.result(), Ran.NOT_RUN)
+            self.record_outcome(task.result(), ExecutionStatus.NOT_RUN)
 
     async def _claim(
         self, key: str, request_id: str, digest: str
@@ -258,7 +258,9 @@
                     return
             await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
-    def record_outcome(self, claim: Claim, ran: Ran, answer: StoredResponse | None = None) -> None:
+    def record_outcome(
+        self, claim: Claim, ran: ExecutionStatus, answer: StoredResponse | None = None
+    ) -> None:
         """Write the outcome of a claimed request, in the background."""
         if answer is not None and len(answer.body) > MAX_STORED_RESPONSE_BYTES:
             answer = None
--- a/mulleinreach/requests/plain.py
+++ b/mulleinreach/requests/plain.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from mulleinreach.common import Address, Clock, Code, EventLog, MulleinreachError, Ran
+from mulleinreach.common import Address, Clock, Code, EventLog, ExecutionStatus, MulleinreachError
 from mulleinreach.intents import ServiceIntent
 from mulleinreach.requests.budget import RetryBudget
 from mulleinreach.requests.journal import RequestJournal, RequestTrace
@@ -114,13 +114,13 @@
         raise MulleinreachError(Code.NO_REPLICA, message, retry_after_s=RETRY_AFTER_S)
 
     def _error(self, code: Code, message: str) -> MulleinreachError:
-        return MulleinreachError(code, message, ran=Ran.UNKNOWN)
+        return MulleinreachError(code, message, ran=ExecutionStatus.UNKNOWN)
 
     def _choose(self, call: PlainCall, tried: set[str]) -> Host:
         leaving = self._leaving_hosts()
         hosts = [
             host
-            for host in self._directory.plain_service(call.service.name)
+            for host in self._directory.live_plain_hosts(call.service.name)
             if host.name not in leaving and host.name not in tried
         ]
         if not hosts:
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -20,7 +20,7 @@
 import aiohttp
 
 from mulleinreach.admission import AdmissionQueue, Ticket
-from mulleinreach.common import Clock, Code, EventLog, MulleinreachError, Ran
+from mulleinreach.common import Clock, Code, EventLog, ExecutionStatus, MulleinreachError
 from mulleinreach.requests.active import ActiveAttempt, ActiveAttempts
 from mulleinreach.requests.answers import (
     build_resume_body,
@@ -401,8 +401,8 @@
             expired = self._clock.now() >= call.deadline
             code = Code.DEADLINE_EXCEEDED if expired else Code.UPSTREAM_FAILED
             error = MulleinreachError(code, reason, retry_after_s=DEFAULT_RETRY_AFTER_S)
-        error.ran = Ran.UNKNOWN if attempts.may_have_run else Ran.NOT_RUN
-        if error.ran is Ran.UNKNOWN and call.once_only:
+        error.ran = ExecutionStatus.UNKNOWN if attempts.may_have_run else ExecutionStatus.NOT_RUN
+        if error.ran is ExecutionStatus.UNKNOWN and call.once_only:
             error.retry_after_s = None
         self._journal.note(call.trace, f"told {error.code}, {error.ran}: {error.message}")
         return error
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -109,7 +109,7 @@
         self._groups = {}
         self._by_epoch = {}
         names = set()
-        for row in self._cache.under(GROUPS_PREFIX):
+        for row in self._cache.rows_with_prefix(GROUPS_PREFIX):
             group = GroupRecord.from_row(row)
             names.add(group.replica)
             self._groups.setdefault(group.service, []).append(group)
