--- a/mulleinreach/admission/__init__.py
+++ b/mulleinreach/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who may send how much: keys, limits of organisations, and the queue under load."""
+"""Admission control: API keys, limits of organisations, and the request queue."""
 
 from mulleinreach.admission.keys import KeyTable, hash_key
 from mulleinreach.admission.queue import AdmissionQueue, Ticket
--- a/mulleinreach/admission/keys.py
+++ b/mulleinreach/admission/keys.py
@@ -1,4 +1,4 @@
-"""Finding the organisation of an API key."""
+"""Authenticates API keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the SHA-256 of a key in hexadecimal, as it stands in an intent.
+    """Return the SHA-256 of a key in hexadecimal, as stored in an intent.
 
     Examples
     ========
@@ -21,13 +21,13 @@
 
 
 class KeyTable:
-    """The organisations of the configuration in force, by hash of their keys."""
+    """The organisations of the current configuration, by hash of their keys."""
 
     def __init__(self) -> None:
         self._by_hash: dict[str, OrganisationIntent] = {}
 
     def follow(self, document: ConfigDocument) -> None:
-        """Take the keys of a new configuration."""
+        """Replace the keys by those of a new configuration."""
         self._by_hash = {
             digest: organisation
             for organisation in document.intent.organisations
@@ -38,7 +38,7 @@
         """Return the organisation of an ``Authorization: Bearer`` header, or raise."""
         scheme, _, key = (header or "").partition(" ")
         if scheme.lower() != "bearer" or not key:
-            raise MulleinreachError(Code.UNAUTHENTICATED, "an API key is needed: Bearer KEY")
+            raise MulleinreachError(Code.UNAUTHENTICATED, "an API key is required: Bearer KEY")
         found = self._by_hash.get(hash_key(key.strip()))
         if found is None:
             raise MulleinreachError(Code.UNAUTHENTICATED, "the API key is not known")
--- a/mulleinreach/admission/queue.py
+++ b/mulleinreach/admission/queue.py
@@ -1,14 +1,14 @@
-"""The queue before the replicas of a service, by priority and fair share.
+"""A queue of requests for each service, with priorities and weighted fair shares.
 
 Explanation
 ===========
 
-A request enters when a replica has room for it; else it waits. Lower priority
-numbers go first; within one, organisations take turns by weight (stride
-scheduling: each has a pass that grows by 1 / weight when one of its requests
-enters, and the lowest pass goes next). So a request that gives up costs its
-organisation nothing. A request that can't enter before its deadline, by the
-rate at which the queue moves and the organisation's share, is refused at once.
+A request waits until a replica has capacity for it. Lower priority numbers are
+served first. Within a priority, organisations are served by stride scheduling:
+the pass of an organisation grows by 1 / weight with each admitted request, and
+the lowest pass is next, so cancelled requests don't count. A request whose
+estimated wait, by the recent admission rate and the organisation's share,
+exceeds its deadline is rejected at once.
 
 References
 ==========
@@ -32,12 +32,12 @@
 
 @dataclass
 class Ticket:
-    """What a request needs from the queue; ``deadline`` in monotonic seconds.
+    """A request to be queued; ``deadline`` in monotonic seconds.
 
     Parameters
     ==========
 
-    expected_duration_s : how long the request is expected to take once it has entered.
+    expected_duration_s : expected duration of the request after its admission.
     """
 
     service: str
@@ -57,25 +57,25 @@
 
 @dataclass
 class _Flow:
-    """The requests of one organisation at one priority, and its pass."""
+    """The waiting requests of one organisation at one priority, and their pass."""
 
     weight: float
     waiting: deque[_Waiter] = field(default_factory=deque)
     pass_value: float = 0.0
 
     def drop_cancelled(self) -> None:
-        """Forget those at the front that have given up."""
+        """Remove cancelled requests from the front."""
         while self.waiting and self.waiting[0].admitted.done():
             self.waiting.popleft()
 
     def count_waiting(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting requests."""
         return sum(not w.admitted.done() for w in self.waiting)
 
 
 @dataclass
 class _ServiceQueue:
-    """The lines of one service, by (priority, organisation), and how fast they go."""
+    """The flows of one service, by (priority, organisation), and recent admissions."""
 
     flows: dict[tuple[int, str], _Flow] = field(default_factory=dict)
     virtual_time: dict[int, float] = field(default_factory=dict)
@@ -98,7 +98,7 @@
 
 
 class AdmissionQueue:
-    """One queue for each service of a node."""
+    """The request queues of a node, one for each service."""
 
     def __init__(self, clock: Clock, max_waiting: int):
         self._clock = clock
@@ -107,7 +107,7 @@
         self.shed = 0
 
     def length(self, service: str) -> int:
-        """Return how many requests wait for a service."""
+        """Return the number of requests that wait for a service."""
         queue = self._queues.get(service)
         return queue.count_waiting() if queue else 0
 
@@ -117,13 +117,13 @@
         try_acquire: Callable[[], object | None],
         release: Callable[[object], None],
     ) -> object:
-        """Return what ``try_acquire`` returns once it has room, in admitted.
+        """Wait for the request's turn and return the slot that ``try_acquire`` returned.
 
         Parameters
         ==========
 
-        try_acquire : takes a slot at a replica, or returns ``None`` if none has room.
-        release : returns a place that was taken for a request that has left.
+        try_acquire : acquires a slot at a replica, or returns ``None`` if none has capacity.
+        release : releases a slot that was acquired for a request cancelled meanwhile.
         """
         queue = self._queues.setdefault(ticket.service, _ServiceQueue())
         if queue.count_waiting() == 0:
@@ -142,7 +142,7 @@
         flow = queue.flows.setdefault(key, _Flow(ticket.weight))
         flow.weight = ticket.weight
         if flow.count_waiting() == 0:
-            # Who was away earns no credit for that time.
+            # An idle flow earns no credit.
             now = queue.virtual_time.get(ticket.priority, 0.0)
             flow.pass_value = max(flow.pass_value, now)
         return flow
@@ -162,23 +162,27 @@
             if isinstance(reason, asyncio.CancelledError):
                 raise
             self.shed += 1
-            raise self._overloaded(queue, "too little of its time was left in the queue") from None
+            raise self._overloaded(
+                queue, "the request waited until too little time was left before its deadline"
+            ) from None
 
     def _reject_if_too_late(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> None:
-        """Refuse a request that would wait past its deadline, or beyond the queue's length."""
+        """Reject a request that would miss its deadline or exceed the queue's length."""
         share = self._weight_share(queue, flow, ticket)
         own = flow.count_waiting()
         if own >= max(1, share * self._max_waiting):
             self.shed += 1
-            raise self._overloaded(queue, f"{own} of {ticket.organisation} wait already")
+            raise self._overloaded(
+                queue, f"{own} requests of {ticket.organisation} are already queued"
+            )
         rate = self._admission_rate(queue) * share
         wait_s = (self._count_higher_priority(queue, ticket) + own) / rate if rate > 0 else 0.0
         if self._clock.now() + wait_s + ticket.expected_duration_s > ticket.deadline:
             self.shed += 1
-            raise self._overloaded(queue, f"it would wait {wait_s:.1f} s")
+            raise self._overloaded(queue, f"the request would wait {wait_s:.1f} s")
 
     def _weight_share(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> float:
-        """Return the organisation's part among those that wait at its priority."""
+        """Return the organisation's share of the weights waiting at its priority."""
         others = sum(
             other.weight
             for (priority, name), other in queue.flows.items()
@@ -200,7 +204,7 @@
         return MulleinreachError(Code.OVERLOADED, message, retry_after_s=retry_after_s)
 
     def _admission_rate(self, queue: _ServiceQueue) -> float:
-        """Return how many requests a second went in lately."""
+        """Return the recently admitted requests per second."""
         now = self._clock.now()
         while queue.admission_times and now - queue.admission_times[0] > RATE_WINDOW_S:
             queue.admission_times.popleft()
@@ -209,7 +213,7 @@
         return len(queue.admission_times) / max(0.5, now - queue.admission_times[0])
 
     def admit_waiting(self, service: str) -> None:
-        """Let in those that have room now; call this when a place may have come free."""
+        """Admit waiting requests while slots are free; called when a slot may be free."""
         queue = self._queues.get(service)
         if queue is None:
             return
@@ -229,6 +233,6 @@
             first.admitted.set_result(slot)
 
     def admit_all_waiting(self) -> None:
-        """Pump the queues of all services."""
+        """Admit waiting requests of all services while slots are free."""
         for service in list(self._queues):
             self.admit_waiting(service)
--- a/mulleinreach/admission/shares.py
+++ b/mulleinreach/admission/shares.py
@@ -1,20 +1,21 @@
-"""Limits of organisations, held over all nodes without a write for each request.
+"""Limits of organisations over all nodes, without shared state for each request.
 
 Explanation
 ===========
 
-Of an organisation's rate L and concurrency C each of N nodes owns an N-th. A
-node that needs less lends the rest to nodes that ask, with its answers to their
-pings. A loan lasts ``LOAN_DURATION_S``: the borrower counts it from before it request_count, the
-lender from when it answered and with a margin, so that the two never both use
-it. So the sum of all shares never exceeds L, whatever is lost, late or cut off.
+Each of N nodes owns 1 / N of an organisation's rate L and concurrency C. A node
+lends what it doesn't need to nodes that ask for it, in its replies to their
+pings. A loan lasts ``LOAN_DURATION_S``, counted by the borrower from before its
+ping, and by the lender from its reply and with a margin for clock drift. So the
+two never use it at the same time, and the sum of all shares never exceeds L,
+even if messages are lost or delayed.
 
-Each node's token bucket holds ``BURST_S`` seconds of its present share. Over
-any T seconds all nodes together admit at most L * (T + BURST_S) requests plus
-one a node for rounding; docs/design/09-limits.md has the proof and the figures.
+Each node's token bucket holds ``BURST_S`` seconds of its current share. In any T
+seconds all nodes together admit at most L * (T + BURST_S) requests, plus one for
+each node by rounding; docs/design/09-limits.md has the proof.
 
-N is the number of nodes listed in the table. While lists differ, the sum can
-exceed L by the ratio of the longest to the shortest list.
+N is the number of nodes listed in the table. While the nodes' lists differ, the
+sum can exceed L by the ratio of the longest to the shortest list.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 @dataclass
 class _Loan:
-    """A part of a share that is lent; ``until`` in monotonic seconds."""
+    """A part of a share that is lent until ``until``, in monotonic seconds."""
 
     rate: float
     slots: int
@@ -43,7 +44,7 @@
 
 @dataclass
 class OrganisationUsage:
-    """What one organisation does at this node."""
+    """The token bucket, demand and loans of an organisation at this node."""
 
     limits: OrganisationIntent
     tokens: float = 0.0
@@ -58,7 +59,7 @@
 
 
 class DistributedLimiter:
-    """Rates and concurrency of all organisations at this node."""
+    """Limits the rates and concurrency of all organisations at this node."""
 
     def __init__(self, node: str, clock: Clock, rate_error: float):
         self._node = node
@@ -68,7 +69,7 @@
         self._nodes = [node]
 
     def follow(self, document: ConfigDocument) -> None:
-        """Take the limits of a new configuration; what is in use stays counted."""
+        """Apply the limits of a new configuration; requests in flight stay counted."""
         now = self._clock.now()
         names = set()
         for limits in document.intent.organisations:
@@ -85,7 +86,7 @@
                 del self._usage[name]
 
     def set_nodes(self, nodes: list[str]) -> None:
-        """Take the list of all nodes, ours among them."""
+        """Set the list of all nodes, including this one."""
         for usage in self._usage.values():
             self._refill(usage)
         self._nodes = sorted(nodes) or [self._node]
@@ -94,7 +95,7 @@
         return usage.limits.rate / len(self._nodes)
 
     def _own_slots(self, usage: OrganisationUsage) -> int:
-        """Return our part of the concurrency; the remainder goes to the first nodes."""
+        """Return this node's slots; the remainder goes to the first nodes of the list."""
         share, remainder = divmod(usage.limits.concurrency, len(self._nodes))
         index = self._nodes.index(self._node) if self._node in self._nodes else len(self._nodes)
         return share + (1 if index < remainder else 0)
@@ -112,13 +113,13 @@
         return max(0, self._own_slots(usage) - lent) + borrowed
 
     def _refill(self, usage: OrganisationUsage) -> None:
-        """Add what the share earned since the last refill, exactly.
+        """Add the tokens earned since the last refill.
 
         Explanation
         ===========
 
-        A loan that lapsed in between counts only up to then, on both sides:
-        else a lender would earn again what the borrower has already used.
+        A loan that expired meanwhile counts up to its expiry on both sides. If it
+        didn't, the lender would earn tokens that the borrower has already used.
         """
         now = self._clock.now()
         since = usage.refilled_at
@@ -130,24 +131,26 @@
         usage.refilled_at = now
 
     def admit(self, organisation: str) -> None:
-        """Count one request in, or raise ``RATE_LIMITED`` or ``CONCURRENCY_LIMITED``."""
+        """Admit one request, or raise ``RATE_LIMITED`` or ``CONCURRENCY_LIMITED``."""
         usage = self._usage[organisation]
         usage.request_count += 1
         self._refill(usage)
         if usage.tokens < 1:
             rate = max(self._rate(usage), 1e-3)
             wait_s = min(60.0, max(0.1, (1 - usage.tokens) / rate))
-            message = f"{organisation} is over its rate of {usage.limits.rate:g} requests/s"
+            message = f"{organisation} exceeds its rate of {usage.limits.rate:g} requests/s"
             raise MulleinreachError(Code.RATE_LIMITED, message, retry_after_s=round(wait_s, 2))
         usage.wanted_slots = max(usage.wanted_slots, usage.in_flight + 1)
         if usage.in_flight >= self._slots(usage):
-            message = f"{organisation} is over its {usage.limits.concurrency} requests in flight"
+            message = (
+                f"{organisation} exceeds its limit of {usage.limits.concurrency} requests in flight"
+            )
             raise MulleinreachError(Code.CONCURRENCY_LIMITED, message, retry_after_s=0.5)
         usage.tokens -= 1
         usage.in_flight += 1
 
     def finish(self, organisation: str) -> None:
-        """Count one request out."""
+        """Count one request as finished."""
         usage = self._usage.get(organisation)
         if usage is not None and usage.in_flight > 0:
             usage.in_flight -= 1
@@ -167,7 +170,7 @@
         usage.demand_at = now
 
     def demands(self) -> list[Demand]:
-        """Return what to ask peers for: organisations that need more than they own."""
+        """Return the demands to send to peers, for organisations that need more."""
         wanted = []
         for name, usage in self._usage.items():
             self._update_demand(usage)
@@ -180,7 +183,7 @@
         return wanted
 
     def lend(self, peer: str, demands: list[Demand]) -> list[Grant]:
-        """Answer the demands of a peer; what is lent is not ours until it lapses."""
+        """Grant loans for a peer's demands; lent shares are unavailable until they expire."""
         grants = []
         for demand in demands:
             usage = self._usage.get(demand.organisation)
@@ -207,7 +210,7 @@
     def _update_loan(
         self, usage: OrganisationUsage, peer: str, rate: float, slots: int, now: float
     ) -> None:
-        """Lend anew; what is still lent from before counts until it lapses."""
+        """Replace the loan to a peer; an unexpired larger one keeps its rate and slots."""
         self._refill(usage)
         until = now + LOAN_DURATION_S * (1 + self._rate_error)
         before = usage.lent.get(peer)
@@ -216,7 +219,7 @@
         usage.lent[peer] = _Loan(rate, slots, until)
 
     def apply_grants(self, peer: str, grants: list[Grant], asked_at: float) -> None:
-        """Use what a peer lent us, counted from before we asked."""
+        """Apply the loans granted by a peer, which expire relative to ``asked_at``."""
         granted = {grant.organisation: grant for grant in grants}
         until = asked_at + LOAN_DURATION_S * (1 - self._rate_error)
         for name, usage in self._usage.items():
@@ -227,10 +230,10 @@
             usage.borrowed[peer] = _Loan(grant.rate, grant.slots, until)
 
     def snapshot(self) -> dict[str, tuple[float, int, int]]:
-        """Return (rate, slots, in flight) of each organisation here, for the metrics."""
+        """Return (rate, slots, in flight) by organisation at this node, for the metrics."""
         return {n: (self._rate(u), self._slots(u), u.in_flight) for n, u in self._usage.items()}
 
 
 def _loan_earnings(loan: _Loan, since: float, now: float) -> float:
-    """Return the requests that a loan was worth between two moments."""
+    """Return the tokens that a loan earned between two times."""
     return loan.rate * max(0.0, min(loan.until, now) - since)
--- a/mulleinreach/requests/__init__.py
+++ b/mulleinreach/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Carrying out requests: attempts, retries, resumes, and claims on once-only ones."""
+"""Request execution: attempts, retries, resumed streams and at-most-once claims."""
--- a/mulleinreach/requests/active.py
+++ b/mulleinreach/requests/active.py
@@ -1,12 +1,12 @@
-"""The attempts in progress, and what ends one from outside.
+"""Tracks the attempts in progress and aborts those that must not continue.
 
 Explanation
 ===========
 
-A single sweep over all attempts, a few times a second, costs less than a timer
-for each chunk. It ends an attempt whose upstream is silent for too long, whose
-replica is no longer whole, that is past its caller's deadline, or that must
-move because its replica's drain is near its own deadline.
+One periodic sweep over all attempts is cheaper than resetting a timer for each
+chunk. It aborts an attempt if its upstream sends nothing for too long, its
+replica is no longer whole, the request's deadline has passed, or the stream
+must move because its replica's drain deadline is near.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False)
 class ActiveAttempt:
-    """One attempt; times in monotonic seconds."""
+    """An attempt in progress; times in monotonic seconds."""
 
     request_id: str
     replica: str
@@ -34,14 +34,14 @@
     abort_result: AttemptResult | None = None
 
     def abort(self, result: AttemptResult) -> None:
-        """End the attempt now; the task that runs it gets a ``TimeoutError``."""
+        """Abort the attempt; a ``TimeoutError`` is raised in the task that runs it."""
         if self.abort_result is None:
             self.abort_result = result
             self.timeout.reschedule(asyncio.get_running_loop().time())
 
 
 class ActiveAttempts:
-    """All attempts of a node that are in progress."""
+    """The attempts in progress at this node."""
 
     def __init__(
         self,
@@ -56,22 +56,22 @@
         self._must_move = must_move
         self._first_token_s = first_token_s
         self._token_gap_s = token_gap_s
-        # A dict keeps the order of arrival, so that a run can be repeated.
+        # A dict, since the iteration order of a set is not deterministic.
         self._attempts: dict[ActiveAttempt, None] = {}
 
     def __len__(self) -> int:
         return len(self._attempts)
 
     def add(self, attempt: ActiveAttempt) -> None:
-        """Watch an attempt from now on."""
+        """Include an attempt in the sweeps."""
         self._attempts[attempt] = None
 
     def discard(self, attempt: ActiveAttempt) -> None:
-        """Stop watching an attempt."""
+        """Exclude an attempt from the sweeps."""
         self._attempts.pop(attempt, None)
 
     def sweep(self) -> None:
-        """End the attempts that have to end."""
+        """Abort the attempts that must not continue."""
         now = self._clock.now()
         for attempt in list(self._attempts):
             result = self._find_abort_result(attempt, now)
@@ -82,7 +82,7 @@
         if not self.is_whole(attempt.replica, attempt.epoch):
             return AttemptResult(AttemptOutcome.LOST, f"{attempt.replica} is no longer whole")
         if now > attempt.deadline:
-            return AttemptResult(AttemptOutcome.FAILED, "the request's deadline passed")
+            return AttemptResult(AttemptOutcome.FAILED, "the request's deadline has passed")
         silent_s = now - attempt.progress_at
         limit_s = self._token_gap_s if attempt.has_begun else self._first_token_s
         if silent_s > limit_s:
--- a/mulleinreach/requests/answers.py
+++ b/mulleinreach/requests/answers.py
@@ -1,4 +1,4 @@
-"""Reading upstreams' answers, and taking a KV cache from one engine to another."""
+"""Reads responses of upstreams and transfers KV caches between engines."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 
 
 def check_response_status(response: aiohttp.ClientResponse) -> AttemptResult | None:
-    """Return how an attempt ended, if the head of the answer says so already."""
+    """Return the attempt's result if the response status decides it, else ``None``."""
     if response.status == 200:
         return None
     if response.headers.get("x-ran") == "not_run":
         return AttemptResult(
-            AttemptOutcome.REFUSED, f"the upstream refused it, status {response.status}"
+            AttemptOutcome.REFUSED,
+            f"the upstream refused the request with status {response.status}",
         )
-    return AttemptResult(AttemptOutcome.FAILED, f"the upstream answered status {response.status}")
+    return AttemptResult(
+        AttemptOutcome.FAILED, f"the upstream responded with status {response.status}"
+    )
 
 
 def build_resume_body(call: ModelCall, stream: OrderedStream) -> bytes:
-    """Return the request's body with the text that was delivered, to go on from there."""
+    """Return the request's body, extended by the delivered text to resume after it."""
     text = stream.delivered_text()
     if text is None:
         return call.body
@@ -34,19 +37,19 @@
 
 
 async def read_bounded(response: aiohttp.ClientResponse, max_bytes: int) -> bytes:
-    """Return the whole body; raises ``ClientPayloadError`` beyond ``max_bytes`` bytes."""
+    """Return the whole body; raises ``ClientPayloadError`` if it exceeds ``max_bytes``."""
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
         if len(body) > max_bytes:
-            raise aiohttp.ClientPayloadError(f"an answer of over {max_bytes} bytes")
+            raise aiohttp.ClientPayloadError(f"the response exceeds {max_bytes} bytes")
     return bytes(body)
 
 
 async def transfer_kv_cache(
     session: aiohttp.ClientSession, source: Address, target: Address, request_id: str
 ) -> bool:
-    """Export a request's KV cache and import it elsewhere; returns whether that worked."""
+    """Copy a request's KV cache to another engine; returns whether this succeeded."""
     path = f"/kv/{request_id}"
     try:
         async with asyncio.timeout(KV_TIMEOUT_S):
--- a/mulleinreach/requests/budget.py
+++ b/mulleinreach/requests/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: retries are at most a share of the traffic.
+"""A retry budget, which limits retries to a fraction of the requests.
 
 References
 ==========
@@ -10,7 +10,7 @@
 
 
 class RetryBudget:
-    """Earns ``ratio`` of a retry with each request; starts with ``reserve``.
+    """Adds ``ratio`` of a retry for each request, up to ``reserve``, the initial balance.
 
     Examples
     ========
@@ -31,11 +31,11 @@
         self.spent = 0
 
     def earn(self) -> None:
-        """Count one request of a caller."""
+        """Credit the budget for one request of a caller."""
         self._tokens = min(self._reserve, self._tokens + self._ratio)
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget, if there is one."""
+        """Spend one retry; returns whether the balance allowed it."""
         if self._tokens < 1:
             self.refused += 1
             return False
--- a/mulleinreach/requests/call.py
+++ b/mulleinreach/requests/call.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and how one attempt at it ended."""
+"""Requests to model services, and the results of their attempts."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     Parameters
     ==========
 
-    path : the API path, sent on as it is.
-    body, fields : the request as it came, and parsed.
-    affinity : what should stay on one replica; empty for no preference.
-    deadline : monotonic seconds after which the caller has no use for the answer.
+    path : the API path, forwarded unchanged.
+    body, fields : the request body as received, and parsed.
+    affinity : requests with the same key prefer the same replica; empty for none.
+    deadline : when the request times out, in monotonic seconds.
     once_only : whether it may run at most once.
     """
 
@@ -37,7 +37,7 @@
 
     @property
     def is_streamed(self) -> bool:
-        """Whether the caller wants the answer as a stream."""
+        """Whether the caller requested a streamed response."""
         return bool(self.fields.get("stream"))
 
 
@@ -47,8 +47,9 @@
     Explanation
     ===========
 
-    ``NOT_SENT`` and ``REFUSED`` are the two ways to know that it didn't run.
-    ``LOST`` is a failure whose replica is known to be no longer whole.
+    After ``NOT_SENT`` or ``REFUSED`` the request is known not to have run.
+    ``LOST`` : the replica is no longer whole.
+    ``MOVED`` : the stream was moved off a draining replica.
     """
 
     DONE = "done"
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """The end of one attempt, and why."""
+    """The outcome of one attempt, and its reason."""
 
     outcome: AttemptOutcome
     reason: str
@@ -73,13 +74,13 @@
 
     @property
     def is_failure(self) -> bool:
-        """Whether the attempt neither completed nor was moved on purpose."""
+        """Whether the attempt neither completed nor was moved off a draining replica."""
         return self.outcome not in (AttemptOutcome.DONE, AttemptOutcome.MOVED)
 
 
 @dataclass(frozen=True)
 class CompleteResponse:
-    """A complete answer of an upstream."""
+    """A complete, not streamed, response of an upstream."""
 
     status: int
     content_type: str
@@ -87,16 +88,16 @@
 
 
 class CallerDisconnected(Exception):
-    """The caller has hung up; nobody waits for the answer any more."""
+    """The caller closed the connection before the response was complete."""
 
 
 class Sink(Protocol):
-    """Where the events of a streamed answer go."""
+    """Receives the events of a streamed response."""
 
     async def write(self, data: bytes) -> None:
-        """Deliver bytes to the caller; the first call sends the head.
+        """Write bytes to the caller; the first call sends the status and headers.
 
-        Raises :class:`CallerDisconnected` if the caller can't be written to any more.
+        Raises :class:`CallerDisconnected` if the connection is closed.
         """
 
 
@@ -110,7 +111,7 @@
     failed_replicas: set[str] = field(default_factory=set)
 
     def note(self, replica: str, result: AttemptResult) -> None:
-        """Add the end of an attempt."""
+        """Record the result of an attempt."""
         self.results.append(result)
         self.may_have_run = self.may_have_run or result.may_have_run
         if result.outcome is not AttemptOutcome.MOVED:
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -3,16 +3,16 @@
 Explanation
 ===========
 
-Before the first byte of such a request goes upstream, a row is inserted in the
-table, conditional on its absence, under the organisation's and the caller's
-key. The row's token names the claimer. A write whose answer was lost is read
-back; if that settles nothing, the request is not sent, the caller is told
-``not_run``, and the claim is *released* in the background: a row that says
-``not_run`` is written in its place, after which the lost write can't land,
-since it is conditional on absence.
-
-A key whose row says ``not_run`` may be claimed again, conditional on that
-row's version. Claims and outcomes are grouped into one transaction an interval.
+Before such a request is sent upstream, a row is inserted in the table under the
+organisation, the service and the caller's key, conditional on its absence. The
+row's token identifies the node and the claim. If the result of the write is
+unknown, the row is read back. If the result is still unknown, the request is
+not sent, the caller gets ``not_run``, and the claim is *released* in the
+background: a row with the state ``not_run`` is written in its place, so that
+the condition of the first write can no longer hold.
+
+A key whose row is ``not_run`` can be claimed again, conditional on that row's
+version. Claims and outcomes are written in one transaction per interval.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class ClaimState(enum.StrEnum):
-    """``CLAIMED`` means that the outcome isn't known yet, or never will be."""
+    """State of a claim; ``CLAIMED`` until an outcome is recorded, if one ever is."""
 
     CLAIMED = "claimed"
     RAN = "ran"
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class StoredResponse:
-    """A short answer, kept so that the same key gets it again."""
+    """A short response, stored to be returned to repeated requests with the same key."""
 
     status: int
     content_type: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class ClaimRecord:
-    """A claim's row; ``at`` in Unix seconds, ``digest`` of the request's content."""
+    """The row of a claim; ``at`` in Unix seconds, ``digest`` of the request's content."""
 
     token: str
     request_id: str
@@ -79,7 +79,7 @@
 
     @classmethod
     def from_value(cls, value: dict) -> ClaimRecord:
-        """Read a row's value."""
+        """Build a record from a row's value."""
         answer = value.get("answer")
         typed = {**value, "state": ClaimState(value["state"])}
         typed["answer"] = StoredResponse(**answer) if answer else None
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A claim that is ours: the request may be sent, once."""
+    """A claim held by this node: the request may be sent once."""
 
     key: str
     version: int
@@ -97,21 +97,21 @@
 
 @dataclass(frozen=True)
 class AlreadyClaimed:
-    """Another request holds the key; it isn't run again."""
+    """Another request holds the claim, so this one is not run."""
 
     record: ClaimRecord
 
 
 @dataclass(frozen=True)
 class ClaimRefused:
-    """The claim can't be had now; nothing was run."""
+    """The claim could not be obtained; the request was not run."""
 
     reason: str
 
 
 @dataclass
 class _PendingWrite:
-    """A write that waits for the next transaction."""
+    """A row waiting to be written by the next transaction."""
 
     key: str
     version: int
@@ -120,7 +120,7 @@
 
 
 def claim_key(organisation: str, service: str, key: str) -> str:
-    """Return the row's key; the first two digits spread the rows for clean-up.
+    """Return the row's key; its first two hex digits are the shard used by ``purge``.
 
     Examples
     ========
@@ -134,7 +134,7 @@
 
 
 class ClaimStore:
-    """Takes claims and writes their outcomes, in grouped transactions."""
+    """Obtains claims and records their outcomes, in batched transactions."""
 
     def __init__(
         self, owner: str, table: TableClient, clock: Clock, log: EventLog, interval_s: float
@@ -150,16 +150,16 @@
         self._tokens = 0
 
     def start(self) -> None:
-        """Begin to write."""
+        """Start the task that writes pending rows."""
         self._tasks.spawn(self._write_loop())
 
     async def stop(self) -> None:
-        """Write what is pending, then end."""
+        """Write the pending rows, then stop."""
         await self._flush()
         await self._tasks.close()
 
     async def abandon(self) -> None:
-        """End at once, as a crash would."""
+        """Stop without writing the pending rows, as a crash would."""
         await self._tasks.close()
 
     async def claim(
@@ -170,8 +170,8 @@
         Explanation
         ===========
 
-        If the caller hangs up meanwhile, the claim is finished all the same and
-        then settled as not run, so that the key stays usable.
+        If the caller disconnects meanwhile, the write still completes, and the
+        claim is recorded as not run so that the key can be claimed again.
         """
         task = self._tasks.spawn(self._claim(key, request_id, digest))
         try:
@@ -199,14 +199,14 @@
                 return await self._read_back(key, version, record, result.reason)
             held = _row_of(result, key)
             if held is None or held.value is None:
-                return ClaimRefused("the claim's row changed while it was written")
+                return ClaimRefused("the claim's row changed during the write")
             known = ClaimRecord.from_value(held.value)
             if known.state is not ClaimState.NOT_RUN or known.digest != digest:
                 return AlreadyClaimed(await self._await_outcome(key, known))
             version = held.version
 
     async def _await_outcome(self, key: str, known: ClaimRecord) -> ClaimRecord:
-        """Give a claim whose outcome is about to be written a moment to be settled."""
+        """Wait up to ``OUTCOME_WAIT_S`` for the outcome of another request's claim."""
         give_up_at = self._clock.now() + OUTCOME_WAIT_S
         while known.state is ClaimState.CLAIMED and self._clock.now() < give_up_at:
             await asyncio.sleep(OUTCOME_POLL_S)
@@ -223,7 +223,7 @@
     async def _read_back(
         self, key: str, version: int, record: ClaimRecord, reason: str
     ) -> Claim | AlreadyClaimed | ClaimRefused:
-        """Settle a claim whose answer was lost, by what the table holds."""
+        """Resolve a claim whose write result is unknown, by reading its row."""
         row = await self._table.get(key)
         if isinstance(row, Row) and row.value is not None:
             found = ClaimRecord.from_value(row.value)
@@ -235,14 +235,15 @@
         return ClaimRefused(reason)
 
     async def _release(self, key: str, version: int, record: ClaimRecord) -> None:
-        """Put ``not_run`` where a claim that was given up has landed or may land.
+        """Write ``not_run`` in place of a claim whose write may still be applied.
 
         Explanation
         ===========
 
-        While the row still has the version that the claim is conditional on, the
-        claim may land: writing the row gives it another version. If it has
-        landed, its token is found. In any other case it can't land any more.
+        While the row has the version that the claim's write is conditional on,
+        the write can still be applied; writing the row changes the version. If
+        the write was applied, the row has its token. Otherwise its condition can
+        no longer hold.
         """
         released = replace(record, state=ClaimState.NOT_RUN)
         for _ in range(MAX_WRITE_TRIES):
@@ -261,7 +262,7 @@
     def record_outcome(
         self, claim: Claim, ran: ExecutionStatus, answer: StoredResponse | None = None
     ) -> None:
-        """Write the outcome of a claimed request, in the background."""
+        """Record the outcome of a claimed request in the background."""
         if answer is not None and len(answer.body) > MAX_STORED_RESPONSE_BYTES:
             answer = None
         record = replace(claim.record, state=ClaimState(str(ran)), answer=answer)
@@ -270,8 +271,8 @@
     async def _write_outcome(self, claim: Claim, record: ClaimRecord) -> None:
         for _ in range(MAX_WRITE_TRIES):
             result = await self._write(claim.key, claim.version, record)
-            # A conflict means that an earlier try was carried out after all:
-            # no one else writes a row that holds our token.
+            # A conflict means that an earlier try was applied: only this node
+            # writes a row that has its token.
             if isinstance(result, Committed | Conflict):
                 return
             await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
@@ -279,7 +280,7 @@
 
     async def _write(self, key: str, version: int, record: ClaimRecord) -> TransactionResult:
         if len(self._pending) >= MAX_PENDING_WRITES:
-            return Unavailable(f"{MAX_PENDING_WRITES} claims are waiting already")
+            return Unavailable(f"{MAX_PENDING_WRITES} claims are already pending")
         pending = _PendingWrite(key, version, record)
         self._pending.append(pending)
         self._wake.set()
@@ -293,7 +294,7 @@
             await asyncio.sleep(self._interval_s)
 
     async def _flush(self) -> None:
-        """Write what is pending in one transaction, leaving out rows that conflict."""
+        """Write pending rows in one transaction, retrying without rows that conflict."""
         batch = self._take_batch()
         while batch:
             conditions = [Condition(p.key, p.version) for p in batch]
@@ -307,7 +308,7 @@
             batch = [p for p in batch if p.key not in conflicting]
 
     def _take_batch(self) -> list[_PendingWrite]:
-        """Take pending writes, one for each row; others of the row wait a turn."""
+        """Take at most one pending write per row; further ones stay for the next batch."""
         batch, deferred, keys = [], [], set()
         for pending in self._pending:
             if pending.result.done():
@@ -323,7 +324,7 @@
         return batch
 
     async def purge(self, shard: int) -> int:
-        """Delete old claims of one of 256 shards; returns how many."""
+        """Delete expired claims of one of 256 shards; returns their number."""
         snapshot = await self._table.read(f"{CLAIMS_PREFIX}{shard:02x}/")
         if not isinstance(snapshot, Snapshot):
             return 0
--- a/mulleinreach/requests/journal.py
+++ b/mulleinreach/requests/journal.py
@@ -1,4 +1,4 @@
-"""What was weighed for each request, kept for explanations within a bound."""
+"""A bounded in-memory record of the decisions about each request."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class RequestTrace:
-    """The decisions about one request, in order; times in seconds since it came."""
+    """The decisions about one request, in order; times in seconds since its arrival."""
 
     request_id: str
     organisation: str
@@ -21,13 +21,13 @@
     steps: list[tuple[float, str]] = field(default_factory=list)
 
     def lines(self) -> list[str]:
-        """Return the story as lines for a person."""
+        """Format the trace as lines of text."""
         head = f"request {self.request_id} of {self.organisation} to {self.service}"
         return [head] + [f"  {after:8.3f} s  {text}" for after, text in self.steps]
 
 
 class RequestJournal:
-    """The stories of the latest requests; the oldest are forgotten first."""
+    """The traces of the latest requests; the oldest are discarded first."""
 
     def __init__(self, clock: Clock, max_requests: int):
         self._clock = clock
@@ -35,7 +35,7 @@
         self._traces: OrderedDict[str, RequestTrace] = OrderedDict()
 
     def open(self, request_id: str, organisation: str, service: str) -> RequestTrace:
-        """Begin the story of a request."""
+        """Start the trace of a request."""
         trace = RequestTrace(request_id, organisation, service, self._clock.now())
         self._traces[request_id] = trace
         if len(self._traces) > self._max_requests:
@@ -43,7 +43,7 @@
         return trace
 
     def note(self, trace: RequestTrace, text: str) -> None:
-        """Add a step; beyond ``MAX_STEPS`` only the last is kept up to date."""
+        """Add a step; beyond ``MAX_STEPS`` it replaces the last one."""
         step = (self._clock.now() - trace.began_at, text)
         if len(trace.steps) >= MAX_STEPS:
             trace.steps[-1] = step
@@ -51,7 +51,7 @@
             trace.steps.append(step)
 
     def get(self, request_id: str) -> RequestTrace | None:
-        """Return the story of a request, if it isn't forgotten."""
+        """Return the trace of a request, or ``None`` if it was discarded."""
         return self._traces.get(request_id)
 
     def __len__(self) -> int:
--- a/mulleinreach/requests/plain.py
+++ b/mulleinreach/requests/plain.py
@@ -1,4 +1,4 @@
-"""Runs requests to plain services: any method, bodies and answers streamed."""
+"""Forwards HTTP requests to plain services, with streamed bodies and responses."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     ==========
 
     target : the path and query at the upstream.
-    body : the whole body, or ``None`` where ``content`` streams it.
+    body : the whole body, or ``None`` if ``content`` streams it.
     """
 
     request_id: str
@@ -59,7 +59,7 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether it may be sent again after bytes of it were sent."""
+        """Whether the request may be retried after bytes of it were sent."""
         return not self.once_only and self.body is not None and self.method in IDEMPOTENT_METHODS
 
 
@@ -86,7 +86,7 @@
         self._in_flight: dict[str, int] = {}
 
     async def open(self, call: PlainCall) -> tuple[aiohttp.ClientResponse, str]:
-        """Return the head of the answer and the host; the body is still to be read.
+        """Return the response, with its body unread, and the host's name.
 
         Raises
         ======
@@ -105,12 +105,14 @@
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
                 self._journal.note(call.trace, f"{host.name} was not reached: {error}")
             except TimeoutError:
-                raise self._error(Code.DEADLINE_EXCEEDED, "no answer in time") from None
+                raise self._error(
+                    Code.DEADLINE_EXCEEDED, "no response before the deadline"
+                ) from None
             except (aiohttp.ClientError, OSError) as error:
                 self._journal.note(call.trace, f"{host.name} failed after bytes were sent")
                 if not call.is_repeatable or not self._budget.try_spend():
                     raise self._error(Code.UPSTREAM_FAILED, str(error)) from error
-        message = f"no host of {call.service.name!r} was reached"
+        message = f"no host of {call.service.name!r} could be reached"
         raise MulleinreachError(Code.NO_REPLICA, message, retry_after_s=RETRY_AFTER_S)
 
     def _error(self, code: Code, message: str) -> MulleinreachError:
@@ -143,10 +145,10 @@
             raise
 
     def finish(self, host: str) -> None:
-        """Count a request out whose answer has been read, or given up."""
+        """Decrement the count of requests in flight at a host."""
         self._in_flight[host] -= 1
 
 
 def filter_hop_headers(headers) -> dict[str, str]:
-    """Return the headers that go on to the next hop."""
+    """Return the headers without those that are not forwarded."""
     return {k: v for k, v in headers.items() if k.lower() not in HOP_BY_HOP_HEADERS}
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -1,12 +1,12 @@
-"""Runs requests to model services: choose a replica, try, retry, resume, move.
+"""Runs requests to model services, with retries and resumed or moved streams.
 
 Explanation
 ===========
 
-A request is retried only as far as this is safe and bounded: one that may run
-once only is never sent again after a byte of it was sent; others spend from the
-retry budget, except where nothing was sent or the replica is known to be lost.
-A streamed answer goes on at the position delivered, first on the same replica.
+A request that may run at most once is not retried if an earlier attempt may
+have run it. Other retries spend the retry budget, unless nothing was sent or
+the replica is known to be lost. A streamed response resumes at the next
+position to be delivered, first on the same replica.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 @dataclass
 class RequestMetrics:
-    """Counts of what became of attempts, for the metrics page."""
+    """Counters of attempts and stream events, for the metrics endpoint."""
 
     attempts: int = 0
     retries: int = 0
@@ -65,13 +65,13 @@
 
 @dataclass
 class HeldSlot:
-    """How the attempt that holds a candidate ended; ``None`` if it was cancelled."""
+    """The result of the attempt that holds a slot; ``None`` if it was cancelled."""
 
     result: AttemptResult | None = None
 
 
 class ModelRunner:
-    """Carries requests to model services to their end."""
+    """Runs requests to model services until they complete or fail."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self.metrics = RequestMetrics()
 
     async def stream(self, call: ModelCall, sink: Sink) -> None:
-        """Deliver a streamed answer whole, or raise; what was delivered is never repeated."""
+        """Deliver a complete streamed response, or raise; no event is delivered twice."""
         stream = OrderedStream(call.request_id, self._resume_bytes)
         attempts = AttemptHistory()
         self._budget.earn()
@@ -123,7 +123,7 @@
             self.metrics.duplicate_events += stream.counts.duplicates
 
     async def whole(self, call: ModelCall) -> CompleteResponse:
-        """Return the whole answer, or raise."""
+        """Return the complete response, or raise."""
         attempts = AttemptHistory()
         self._budget.earn()
         candidate: Candidate | None = None
@@ -138,11 +138,11 @@
                 return answer
 
     def _record_duration(self, service: str, seconds: float) -> None:
-        """Learn how long whole answers take, so that none enters too late to be in time."""
+        """Update the mean duration of complete responses, used for admission."""
         known = self._mean_duration_s.get(service, seconds)
         self._mean_duration_s[service] = known + DURATION_SMOOTHING * (seconds - known)
 
-    # Choosing where the next attempt goes.
+    # Choosing the replica of the next attempt.
 
     async def _next_candidate(
         self,
@@ -180,7 +180,7 @@
     def _can_resume_on(
         self, last: Candidate, attempts: AttemptHistory, stream: OrderedStream | None
     ) -> bool:
-        """Whether to go on where the stream was cut: once, if the replica is whole."""
+        """Whether to resume the stream once on the same replica, if it is whole."""
         if (
             stream is None
             or stream.next_position == 0
@@ -195,7 +195,7 @@
         give_up_at = min(call.deadline, self._clock.now() + NO_REPLICA_WAIT_S)
         while not self._replicas.candidates(call.service.name):
             if self._clock.now() >= give_up_at:
-                message = f"no replica of {call.service.name!r} serves at the moment"
+                message = f"no replica of {call.service.name!r} is available"
                 error = MulleinreachError(
                     Code.NO_REPLICA, message, retry_after_s=DEFAULT_RETRY_AFTER_S
                 )
@@ -203,7 +203,7 @@
             await asyncio.sleep(NO_REPLICA_POLL_S)
 
     def _acquire_slot(self, call: ModelCall, attempts: AttemptHistory) -> Candidate | None:
-        """Choose a replica with room and count the request in; ``None`` if none has."""
+        """Choose a replica with capacity and count the request; ``None`` if none has."""
         usable = self._replicas.candidates(call.service.name)
         fresh = [c for c in usable if c.replica not in attempts.failed_replicas]
         choice = self._router.choose(fresh or usable, call.affinity)
@@ -220,7 +220,7 @@
 
     @contextlib.contextmanager
     def _hold_slot(self, call: ModelCall, candidate: Candidate) -> Iterator[HeldSlot]:
-        """Hold the place that was taken; give it back however the attempt ends."""
+        """Release the acquired slot when the attempt ends, whatever its result."""
         slot = HeldSlot()
         try:
             yield slot
@@ -229,7 +229,7 @@
             self._replicas.note_finished(candidate.replica, failed)
             self._queue.admit_waiting(call.service.name)
 
-    # One attempt.
+    # A single attempt.
 
     def _headers(self, call: ModelCall, candidate: Candidate, attempt: int) -> dict[str, str]:
         return {
@@ -300,7 +300,7 @@
     async def _attempt(
         self, call, candidate, headers, body, consume, resumable: bool
     ) -> AttemptResult:
-        """Send the request once and let ``consume`` read the answer."""
+        """Send the request once and read the response with ``consume``."""
         self.metrics.attempts += 1
         timeout = asyncio.timeout(None)
         active = ActiveAttempt(
@@ -324,7 +324,7 @@
                 AttemptOutcome.NOT_SENT, f"{candidate.replica} was not reached: {error}"
             )
         except TimeoutError as error:
-            # Before OSError, which it is a kind of: the sweep ends attempts so.
+            # Raised by the sweep; caught before OSError, its base class.
             return active.abort_result or AttemptResult(
                 AttemptOutcome.FAILED, f"timed out: {error}"
             )
@@ -333,7 +333,7 @@
         finally:
             self._active.discard(active)
 
-    # What follows an attempt.
+    # Retry decisions and final errors.
 
     def _handle_attempt_result(
         self,
@@ -343,7 +343,7 @@
         result: AttemptResult,
         stream: OrderedStream | None,
     ) -> None:
-        """Note the end; raise the final error unless another attempt may follow."""
+        """Record the result; raise the final error unless another attempt may follow."""
         failed = result.is_failure
         self._journal.note(
             call.trace, f"attempt {attempts.count} ended: {result.outcome}, {result.reason}"
@@ -362,7 +362,7 @@
         )
         refusal = self._retry_refusal(call, attempts, result, stream)
         if refusal is not None:
-            self._journal.note(call.trace, f"given up: {refusal}")
+            self._journal.note(call.trace, f"not retried: {refusal}")
             raise self._final_error(call, attempts, None, f"{result.reason}; {refusal}")
         self.metrics.retries += 1
 
@@ -376,13 +376,13 @@
         if attempts.count >= MAX_ATTEMPTS:
             return f"{attempts.count} attempts were made"
         if self._clock.now() >= call.deadline:
-            return "its deadline has passed"
+            return "the request's deadline has passed"
         if result.outcome is AttemptOutcome.NOT_SENT:
             return None
         if call.once_only and result.may_have_run:
-            return "it may run at most once"
+            return "the request may run at most once"
         if stream is not None and stream.next_position and stream.delivered_text() is None:
-            return "too much was delivered to resume elsewhere"
+            return "the delivered text is too long to resume on another replica"
         if result.outcome is AttemptOutcome.LOST:
             return None
         if not self._budget.try_spend():
@@ -396,7 +396,7 @@
         error: MulleinreachError | None,
         reason: str = "",
     ) -> MulleinreachError:
-        """Return the error that the caller gets, with what is known of its outcome."""
+        """Return the caller's error, with whether the request may have run."""
         if error is None:
             expired = self._clock.now() >= call.deadline
             code = Code.DEADLINE_EXCEEDED if expired else Code.UPSTREAM_FAILED
@@ -404,13 +404,13 @@
         error.ran = ExecutionStatus.UNKNOWN if attempts.may_have_run else ExecutionStatus.NOT_RUN
         if error.ran is ExecutionStatus.UNKNOWN and call.once_only:
             error.retry_after_s = None
-        self._journal.note(call.trace, f"told {error.code}, {error.ran}: {error.message}")
+        self._journal.note(call.trace, f"responded with {error.code}, {error.ran}: {error.message}")
         return error
 
     async def _transfer_kv_cache(
         self, call: ModelCall, source: Candidate | None, target: Candidate
     ) -> None:
-        """Take the KV cache along when a stream moves; it is only a saving of time."""
+        """Try to copy the KV cache of a moving stream; the stream moves without it otherwise."""
         if source is None:
             return
         self.metrics.moves += 1
--- a/mulleinreach/requests/stream.py
+++ b/mulleinreach/requests/stream.py
@@ -1,14 +1,13 @@
-"""Putting the events of an answer stream in order, across attempts.
+"""Orders the server-sent events of a response across attempts.
 
 Explanation
 ===========
 
-An engine streams server-sent events. The ``id`` field of each is
-``REQUEST/ATTEMPT:POSITION``, positions count from 0, and the event after the
-last token has the data ``[DONE]``. A stream is resumed with the standard's
-``Last-Event-ID``. Only the event at the next position is ever delivered: an
-event of another request or attempt is dropped, a later one waits, an earlier
-one is a duplicate. So a caller sees no gap, no doubling and no one else's text.
+The ``id`` field of each event is ``REQUEST/ATTEMPT:POSITION``, positions count
+from 0, and the event after the last token has the data ``[DONE]``. A stream is
+resumed with the standard's ``Last-Event-ID``. Events are delivered in order of
+position: later ones are buffered, duplicates and events of other attempts are
+dropped, and an event of another request ends the attempt.
 
 References
 ==========
@@ -29,7 +28,7 @@
 
 
 class StreamFault(enum.StrEnum):
-    """Why an attempt's stream can't be used any further."""
+    """Why an attempt's stream is invalid."""
 
     GARBAGE = "garbage"
     OTHER_REQUEST = "other_request"
@@ -37,7 +36,7 @@
 
 
 class StreamError(Exception):
-    """The attempt's stream is of no more use; delivered positions stay good."""
+    """An attempt's stream is invalid; events delivered before remain valid."""
 
     def __init__(self, fault: StreamFault, detail: str):
         super().__init__(f"{fault}: {detail}")
@@ -46,7 +45,7 @@
 
 @dataclass
 class StreamCounts:
-    """What was dropped, over all attempts of a request."""
+    """Counts of irregular events over all attempts of a request."""
 
     duplicates: int = 0
     foreign: int = 0
@@ -54,7 +53,7 @@
 
 
 class OrderedStream:
-    """The answer of one request, whatever attempts it is put together from.
+    """The ordered response to one request, assembled from all its attempts.
 
     Examples
     ========
@@ -88,10 +87,10 @@
         self._buffered.clear()
 
     def feed(self, data: bytes) -> bytes:
-        """Take what arrived; returns what is to be delivered, which may be nothing."""
+        """Process received bytes; returns the bytes to deliver, which may be empty."""
         is_plain = not self._partial_event and not self._buffered and data.endswith(EVENT_SEPARATOR)
         if is_plain and data.count(EVENT_SEPARATOR) == 1:
-            # The common case: one whole event, the next one.
+            # Fast path for a single event at the next position.
             event = data[:-2]
             if event.startswith(b"%b%d\ndata: " % (self._prefix, self.next_position)):
                 self._deliver(event)
@@ -101,7 +100,7 @@
     def _parse_events(self, data: bytes) -> bytes:
         *events, self._partial_event = (self._partial_event + data).split(EVENT_SEPARATOR)
         if len(self._partial_event) > MAX_EVENT_BYTES:
-            raise StreamError(StreamFault.GARBAGE, f"an event of over {MAX_EVENT_BYTES} bytes")
+            raise StreamError(StreamFault.GARBAGE, f"an event exceeds {MAX_EVENT_BYTES} bytes")
         delivered = []
         for event in events:
             self._buffer_event(event)
@@ -127,11 +126,11 @@
         if position > self.next_position:
             self.counts.reordered += 1
             if len(self._buffered) >= MAX_BUFFERED_EVENTS:
-                raise StreamError(StreamFault.GAP, f"position {self.next_position} never came")
+                raise StreamError(StreamFault.GAP, f"position {self.next_position} is missing")
         self._buffered[position] = event
 
     def _reject_event(self, event: bytes) -> None:
-        """Drop an event of another request or attempt; refuse what is no event."""
+        """Drop an event of another attempt; raise for other requests and invalid events."""
         if event.startswith(b":") or not event.strip():
             return
         self.counts.foreign += 1
@@ -150,7 +149,7 @@
             self._delivered_events.append(event)
 
     def delivered_text(self) -> str | None:
-        """Return the text that was delivered, or ``None`` if it was too long to keep."""
+        """Return the delivered text, or ``None`` if it was too long to keep or is invalid."""
         if self._delivered_bytes > self._max_kept_bytes:
             return None
         try:
--- a/mulleinreach/routing/__init__.py
+++ b/mulleinreach/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Choosing the replica that a request is sent to."""
+"""Load balancing of requests over replicas."""
 
 from mulleinreach.routing.replicas import Candidate, ReplicaTable
 from mulleinreach.routing.router import Choice, Router
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that a node may send work to, and how loaded it thinks they are."""
+"""The replicas that a node may send requests to, and their estimated load."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 @dataclass
 class ReplicaLoad:
-    """This node's own work on one replica, for correcting a report that lags.
+    """This node's requests at one replica, to correct delayed load reports.
 
     Parameters
     ==========
 
-    sent, finished : counts since the node started.
-    sent_at_report, finished_at_report : the counts when the latest report was asked for.
-    failures : in a row; ``ejected_until`` in monotonic seconds.
+    sent, finished : numbers of requests since the node started.
+    sent_at_report, finished_at_report : these numbers at the latest report.
+    failures : consecutive failed attempts.
+    ejected_until : when the ejection ends, in monotonic seconds.
     """
 
     sent: int = 0
@@ -39,11 +40,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests of this node that the replica works on."""
+        """The number of this node's requests in flight at the replica."""
         return self.sent - self.finished
 
     def estimate(self, evidence: ReplicaStatus) -> float:
-        """Return the requests at the replica: as reported, and what we did since."""
+        """Return the estimated load: the reported one, with this node's changes since."""
         if evidence.reported_at > self.reported_at:
             self.reported_at = evidence.reported_at
             self.sent_at_report = self.sent
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A replica that may be sent work; ``load`` in requests running or waiting."""
+    """A replica that may be sent requests; ``load`` in requests running or waiting."""
 
     replica: str
     epoch: int
@@ -66,20 +67,20 @@
 
     @property
     def has_capacity(self) -> bool:
-        """Whether the replica may be sent one more.
+        """Whether the replica may be sent another request.
 
         Explanation
         ===========
 
-        Reports lag, so a node may see a replica full of the work of others that
-        has ended since. Its fair part of the places it may use all the same.
+        Load reports lag, so a replica may look full with requests of other nodes
+        that have ended since. A node may always use its fair share of the slots.
         """
         max_load = self.slots * MAX_LOAD_FACTOR
         return self.load < max_load or self.in_flight < max_load / self.nodes
 
 
 class ReplicaTable:
-    """Joins groups, evidence of wholeness, leaving hosts and own load."""
+    """The replicas of each service, with their health, hosts and estimated load."""
 
     def __init__(
         self,
@@ -120,11 +121,11 @@
                 del self._loads[name]
 
     def replica_of(self, epoch: int) -> str | None:
-        """Return the replica whose group has this epoch; each is given out once."""
+        """Return the replica whose group has this epoch; epochs are unique."""
         return self._by_epoch.get(epoch)
 
     def groups(self, service: str) -> list[GroupRecord]:
-        """Return all groups of a service, usable or not."""
+        """Return all groups of a service, including unusable ones."""
         return self._groups.get(service, [])
 
     def all_groups(self) -> list[GroupRecord]:
@@ -132,11 +133,11 @@
         return [group for groups in self._groups.values() for group in groups]
 
     def load_of(self, replica: str) -> ReplicaLoad:
-        """Return this node's own count of work on a replica."""
+        """Return this node's load on a replica."""
         return self._loads.setdefault(replica, ReplicaLoad())
 
     def candidates(self, service: str) -> list[Candidate]:
-        """Return the replicas of a service that may be sent work at this moment."""
+        """Return the replicas of a service that may be sent requests now."""
         leaving = self._leaving_hosts()
         nodes = self._count_nodes()
         found = []
@@ -146,7 +147,7 @@
         return found
 
     def why_unusable(self, group: GroupRecord, leaving: set[str]) -> str | None:
-        """Return why a group gets no new work, or ``None`` if it may."""
+        """Return why a group gets no new requests, or ``None`` if it is usable."""
         if group.state is GroupState.DRAINING:
             return "it is draining"
         if not leaving.isdisjoint(group.hosts):
@@ -175,11 +176,11 @@
         )
 
     def note_sent(self, replica: str) -> None:
-        """Count a request that is sent to a replica."""
+        """Count a request sent to a replica."""
         self.load_of(replica).sent += 1
 
     def note_finished(self, replica: str, failed: bool) -> None:
-        """Count a request that has ended; failures in a row eject the replica a while."""
+        """Count a finished request; consecutive failures eject the replica temporarily."""
         load = self.load_of(replica)
         load.finished += 1
         if not failed:
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -1,16 +1,18 @@
-"""Which replica gets a request.
+"""Chooses the replica that a request is sent to.
 
 Explanation
 ===========
 
-Requests of a conversation share the beginning of their prompts, and rendezvous
-hashing ranks the replicas for each conversation, the same at every node. The
-request goes to the first in that ranking that is not over the bound: ``MIN_LOAD_BOUND`` of
-its slots, or ``MAX_EXCESS_LOAD`` above the mean load of all, whichever is more. So a
-conversation that spills goes to the same second choice each time, and nodes
-that share reports which lag do not all run to the same least loaded replica.
-A request without a key goes to the less loaded of two at random, for the same
-reason. docs/design/08-routing.md gives the figures, and those of what lost.
+Requests of a conversation share a prompt prefix, so they should reach the same
+replica and its cache. Rendezvous hashing ranks the replicas for each
+conversation, identically at every node. The request goes to the first replica
+in this ranking whose load doesn't exceed the bound: ``MIN_LOAD_BOUND`` of its
+slots, or ``MAX_EXCESS_LOAD`` above the mean load, whichever is greater. Above
+the bound the conversation moves to the next replica of its ranking, which avoids
+that all nodes choose the same least loaded replica from delayed reports.
+
+A request without a key goes to the less loaded of two random replicas, for the
+same reason. docs/design/08-routing.md compares the alternatives.
 
 References
 ==========
@@ -35,14 +37,14 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The replica that was chosen, and why."""
+    """The chosen replica, and why it was chosen."""
 
     candidate: Candidate
     why: str
 
 
 class Router:
-    """Affinity by conversation, with a bound on load."""
+    """Chooses replicas by conversation affinity, within a bound on load."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -53,8 +55,8 @@
         Parameters
         ==========
 
-        candidates : all replicas that may be sent work, full ones too.
-        key : what should stay together; empty for no preference.
+        candidates : all replicas that may be sent requests, including full ones.
+        key : requests with the same key prefer the same replica; empty for none.
         """
         available = [candidate for candidate in candidates if candidate.has_capacity]
         if not available:
@@ -85,7 +87,7 @@
 
 
 def _explain(candidate: Candidate, skipped: list[Candidate], bound: float) -> str:
-    """Say which place in the conversation's ranking the choice has, and why not before."""
+    """Describe the choice's rank for the conversation and the skipped replicas."""
     load = f"load {candidate.load:.0f} of {candidate.slots}, bound {bound:.0%}"
     if not skipped:
         return f"first choice of its conversation ({load})"
