--- a/mulleinreach/admission/queue.py
+++ b/mulleinreach/admission/queue.py
@@ -91,9 +91,9 @@
             flow.drop_cancelled()
             if not flow.waiting:
                 continue
-            rank = (priority, flow.pass_value, name)
-            if best is None or rank < best[0]:
-                best = (rank, flow)
+            sort_key = (priority, flow.pass_value, name)
+            if best is None or sort_key < best[0]:
+                best = (sort_key, flow)
         return None if best is None else (best[0][0], best[1])
 
 
@@ -169,14 +169,16 @@
     def _reject_if_too_late(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> None:
         """Reject a request that would miss its deadline or exceed the queue's length."""
         share = self._weight_share(queue, flow, ticket)
-        own = flow.count_waiting()
-        if own >= max(1, share * self._max_waiting):
+        own_waiting = flow.count_waiting()
+        if own_waiting >= max(1, share * self._max_waiting):
             self.shed += 1
             raise self._overloaded(
-                queue, f"{own} requests of {ticket.organisation} are already queued"
+                queue, f"{own_waiting} requests of {ticket.organisation} are already queued"
             )
         rate = self._admission_rate(queue) * share
-        wait_s = (self._count_higher_priority(queue, ticket) + own) / rate if rate > 0 else 0.0
+        wait_s = (
+            (self._count_higher_priority(queue, ticket) + own_waiting) / rate if rate > 0 else 0.0
+        )
         if self._clock.now() + wait_s + ticket.expected_duration_s > ticket.deadline:
             self.shed += 1
             raise self._overloaded(queue, f"the request would wait {wait_s:.1f} s")
--- a/mulleinreach/entry/callers.py
+++ b/mulleinreach/entry/callers.py
@@ -174,7 +174,7 @@
         else:
 
             async def run() -> StoredResponse | None:
-                whole = await self._parts.models.whole(call)
+                whole = await self._parts.models.complete(call)
                 answer.response = _whole_response(call.request_id, whole)
                 return StoredResponse(whole.status, whole.content_type, whole.body.decode())
 
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -197,23 +197,23 @@
                 return ClaimRefused(result.reason)
             if isinstance(result, Unresolved):
                 return await self._read_back(key, version, record, result.reason)
-            held = _row_of(result, key)
-            if held is None or held.value is None:
+            existing_row = _row_of(result, key)
+            if existing_row is None or existing_row.value is None:
                 return ClaimRefused("the claim's row changed during the write")
-            known = ClaimRecord.from_value(held.value)
-            if known.state is not ClaimState.NOT_RUN or known.digest != digest:
-                return AlreadyClaimed(await self._await_outcome(key, known))
-            version = held.version
+            existing = ClaimRecord.from_value(existing_row.value)
+            if existing.state is not ClaimState.NOT_RUN or existing.digest != digest:
+                return AlreadyClaimed(await self._await_outcome(key, existing))
+            version = existing_row.version
 
-    async def _await_outcome(self, key: str, known: ClaimRecord) -> ClaimRecord:
+    async def _await_outcome(self, key: str, existing: ClaimRecord) -> ClaimRecord:
         """Wait up to ``OUTCOME_WAIT_S`` for the outcome of another request's claim."""
         give_up_at = self._clock.now() + OUTCOME_WAIT_S
-        while known.state is ClaimState.CLAIMED and self._clock.now() < give_up_at:
+        while existing.state is ClaimState.CLAIMED and self._clock.now() < give_up_at:
             await asyncio.sleep(OUTCOME_POLL_S)
             row = await self._table.get(key)
             if isinstance(row, Row) and row.value is not None:
-                known = ClaimRecord.from_value(row.value)
-        return known
+                existing = ClaimRecord.from_value(row.value)
+        return existing
 
     def _new_record(self, request_id: str, digest: str) -> ClaimRecord:
         self._tokens += 1
@@ -329,12 +329,12 @@
         if not isinstance(snapshot, Snapshot):
             return 0
         limit = self._clock.wall() - RETENTION_S
-        old = [r for r in snapshot.rows if r.value is not None and r.value["at"] < limit]
-        if not old:
+        expired = [r for r in snapshot.rows if r.value is not None and r.value["at"] < limit]
+        if not expired:
             return 0
-        conditions = [Condition(row.key, row.version) for row in old]
-        result = await self._table.transact(conditions, [Write(row.key, None) for row in old])
-        return len(old) if isinstance(result, Committed) else 0
+        conditions = [Condition(row.key, row.version) for row in expired]
+        result = await self._table.transact(conditions, [Write(row.key, None) for row in expired])
+        return len(expired) if isinstance(result, Committed) else 0
 
 
 def _resolve(batch: list[_PendingWrite], result: TransactionResult) -> None:
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -122,25 +122,25 @@
             self.metrics.foreign_events += stream.counts.foreign
             self.metrics.duplicate_events += stream.counts.duplicates
 
-    async def whole(self, call: ModelCall) -> CompleteResponse:
+    async def complete(self, call: ModelCall) -> CompleteResponse:
         """Return the complete response, or raise."""
         attempts = AttemptHistory()
         self._budget.earn()
         candidate: Candidate | None = None
         while True:
             candidate = await self._next_candidate(call, attempts, candidate, None)
-            began = self._clock.now()
+            started_at = self._clock.now()
             with self._hold_slot(call, candidate) as slot:
                 slot.result, answer = await self._try_complete(call, candidate, attempts)
             self._handle_attempt_result(call, candidate, attempts, slot.result, None)
             if answer is not None:
-                self._record_duration(call.service.name, self._clock.now() - began)
+                self._record_duration(call.service.name, self._clock.now() - started_at)
                 return answer
 
     def _record_duration(self, service: str, seconds: float) -> None:
         """Update the mean duration of complete responses, used for admission."""
-        known = self._mean_duration_s.get(service, seconds)
-        self._mean_duration_s[service] = known + DURATION_SMOOTHING * (seconds - known)
+        mean_s = self._mean_duration_s.get(service, seconds)
+        self._mean_duration_s[service] = mean_s + DURATION_SMOOTHING * (seconds - mean_s)
 
     # Choosing the replica of the next attempt.
 
@@ -148,14 +148,14 @@
         self,
         call: ModelCall,
         attempts: AttemptHistory,
-        last: Candidate | None,
+        previous: Candidate | None,
         stream: OrderedStream | None,
     ) -> Candidate:
         attempts.count += 1
-        if last is not None and self._can_resume_on(last, attempts, stream):
-            self._replicas.note_sent(last.replica)
-            self._journal.note(call.trace, f"resume on {last.replica}, which has the stream")
-            return last
+        if previous is not None and self._can_resume_on(previous, attempts, stream):
+            self._replicas.note_sent(previous.replica)
+            self._journal.note(call.trace, f"resume on {previous.replica}, which has the stream")
+            return previous
         await self._await_candidates(call, attempts)
         ticket = Ticket(
             call.service.name,
@@ -173,12 +173,12 @@
             )
         except MulleinreachError as error:
             raise self._final_error(call, attempts, error) from None
-        if self._clock.now() - call.trace.began_at > NO_REPLICA_POLL_S:
+        if self._clock.now() - call.trace.started_at > NO_REPLICA_POLL_S:
             self._journal.note(call.trace, "left the queue")
         return candidate
 
     def _can_resume_on(
-        self, last: Candidate, attempts: AttemptHistory, stream: OrderedStream | None
+        self, previous: Candidate, attempts: AttemptHistory, stream: OrderedStream | None
     ) -> bool:
         """Whether to resume the stream once on the same replica, if it is whole."""
         if (
@@ -189,7 +189,7 @@
             return False
         if sum(result.outcome is AttemptOutcome.FAILED for result in attempts.results) > 1:
             return False
-        return self._active.is_whole(last.replica, last.epoch)
+        return self._active.is_whole(previous.replica, previous.epoch)
 
     async def _await_candidates(self, call: ModelCall, attempts: AttemptHistory) -> None:
         give_up_at = min(call.deadline, self._clock.now() + NO_REPLICA_WAIT_S)
@@ -205,8 +205,8 @@
     def _acquire_slot(self, call: ModelCall, attempts: AttemptHistory) -> Candidate | None:
         """Choose a replica with capacity and count the request; ``None`` if none has."""
         usable = self._replicas.candidates(call.service.name)
-        fresh = [c for c in usable if c.replica not in attempts.failed_replicas]
-        choice = self._router.choose(fresh or usable, call.affinity)
+        untried = [c for c in usable if c.replica not in attempts.failed_replicas]
+        choice = self._router.choose(untried or usable, call.affinity)
         if choice is None:
             return None
         self._replicas.note_sent(choice.candidate.replica)
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -43,14 +43,14 @@
         """The number of this node's requests in flight at the replica."""
         return self.sent - self.finished
 
-    def estimate(self, evidence: ReplicaStatus) -> float:
+    def estimate(self, status: ReplicaStatus) -> float:
         """Return the estimated load: the reported one, with this node's changes since."""
-        if evidence.reported_at > self.reported_at:
-            self.reported_at = evidence.reported_at
+        if status.reported_at > self.reported_at:
+            self.reported_at = status.reported_at
             self.sent_at_report = self.sent
             self.finished_at_report = self.finished
         since = (self.sent - self.sent_at_report) - (self.finished - self.finished_at_report)
-        return max(evidence.running + evidence.waiting + since, self.in_flight, 0)
+        return max(status.running + status.waiting + since, self.in_flight, 0)
 
 
 @dataclass(frozen=True)
@@ -162,15 +162,15 @@
         return None
 
     def _candidate(self, group: GroupRecord, nodes: int) -> Candidate:
-        evidence = self._health.evidence(group.replica)
+        status = self._health.evidence(group.replica)
         load = self.load_of(group.replica)
         head = self._directory.get(group.head)
         return Candidate(
             replica=group.replica,
             epoch=group.epoch,
             address=Address.parse(head.address),
-            load=load.estimate(evidence),
-            slots=evidence.slots or DEFAULT_SLOTS,
+            load=load.estimate(status),
+            slots=status.slots or DEFAULT_SLOTS,
             in_flight=load.in_flight,
             nodes=nodes,
         )
