--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -129,12 +129,12 @@
         candidate: Candidate | None = None
         while True:
             candidate = await self._next_candidate(call, attempts, candidate, None)
-            started_at = self._clock.now()
+            attempt_started_at = self._clock.now()
             with self._hold_slot(call, candidate) as slot:
                 slot.result, answer = await self._try_complete(call, candidate, attempts)
             self._handle_attempt_result(call, candidate, attempts, slot.result, None)
             if answer is not None:
-                self._record_duration(call.service.name, self._clock.now() - started_at)
+                self._record_duration(call.service.name, self._clock.now() - attempt_started_at)
                 return answer
 
     def _record_duration(self, service: str, seconds: float) -> None:
