--- a/mulleinreach/admission/shares.py
+++ b/mulleinreach/admission/shares.py
@@ -27,9 +27,12 @@
 from mulleinreach.roster.messages import Demand, Grant
 
 LOAN_DURATION_S = 1.2
+# Capacity of a token bucket, in seconds of its rate.
 BURST_S = 1.0
 DEMAND_WINDOW_S = 0.5
+# Factor over the observed demand that a node keeps or asks for.
 DEMAND_HEADROOM = 1.2
+# Fraction of its own rate that a node never lends.
 MIN_KEPT_SHARE = 0.1
 
 
--- a/mulleinreach/admission/tests/test_queue.py
+++ b/mulleinreach/admission/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Turns in the queue: priorities, weights, deadlines, and places given back."""
+"""Tests for the admission queue: priorities, weights, deadlines and released slots."""
 
 import asyncio
 from collections import Counter
@@ -11,7 +11,7 @@
 
 
 class Slots:
-    """A number of places that are taken and given back."""
+    """A fixed number of slots that can be acquired and released."""
 
     def __init__(self, free):
         self.free = free
@@ -31,7 +31,7 @@
 
 
 async def serve(queue, slots, count):
-    """Free one place after the other; the queue lets in whose turn it is."""
+    """Free one slot every 0.1 s, so that the queue admits the next request."""
     for _ in range(count):
         slots.free += 1
         queue.admit_waiting("s")
@@ -113,7 +113,7 @@
         entered = []
         tasks = start_requests(queue, slots, [ticket("a")] * 30, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 10)  # ten a second
+        await serve(queue, slots, 10)  # ten per second
         began = asyncio.get_running_loop().time()
         with pytest.raises(MulleinreachError) as raised:
             await queue.enter(ticket("a", deadline=began + 1), slots.take, slots.release)
--- a/mulleinreach/admission/tests/test_shares.py
+++ b/mulleinreach/admission/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""The limits of an organisation hold over all nodes, whatever is late or cut off."""
+"""Tests that limits of organisations hold over all nodes despite delays and partitions."""
 
 import pytest
 
@@ -34,7 +34,7 @@
     exchange = Exchange()
     lender = exchange.nodes[NODES[0]]
     before = lender.snapshot()["shop"][0]
-    lender.lend(NODES[1], [Demand("shop", 50.0, 0.0)])  # the grant never arrives
+    lender.lend(NODES[1], [Demand("shop", 50.0, 0.0)])  # the grant is lost
     assert lender.snapshot()["shop"][0] < before
     exchange.clock.time += 2.1
     assert lender.snapshot()["shop"][0] == before
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -43,7 +43,9 @@
 MAX_BATCH_WRITES = 200
 MAX_WRITE_TRIES = 600
 WRITE_RETRY_INTERVAL_S = 1.0
+# Age at which claims are deleted.
 RETENTION_S = 86_400.0
+# How long a repeated request waits for the outcome of the first.
 OUTCOME_WAIT_S = 1.0
 OUTCOME_POLL_S = 0.25
 
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -45,6 +45,7 @@
 NO_REPLICA_WAIT_S = 2.0
 NO_REPLICA_POLL_S = 0.1
 DEFAULT_RETRY_AFTER_S = 2.0
+# Weight of the latest duration in the moving average.
 DURATION_SMOOTHING = 0.05
 
 NOT_SENT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
--- a/mulleinreach/requests/tests/test_stream.py
+++ b/mulleinreach/requests/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Property tests of putting a stream together from attempts that misbehave."""
+"""Property tests for assembling a stream from attempts with faulty events."""
 
 import pytest
 from hypothesis import given
@@ -27,7 +27,7 @@
 
 @st.composite
 def attempts(draw):
-    """Attempts as lists of events: shuffled a little, doubled, lost, of others, cut."""
+    """Attempts as event lists with swapped, duplicate, lost, foreign and truncated events."""
     made = []
     for number in range(1, draw(st.integers(1, 4)) + 1):
         events = [event(position, number) for position in range(len(TOKENS) + 1)]
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -12,8 +12,11 @@
 
 MIN_EJECTION_S = 0.5
 MAX_EJECTION_S = 10.0
+# Consecutive failures after which a replica is ejected.
 FAILURES_TO_EJECT = 3
+# Assumed for replicas that report no slots.
 DEFAULT_SLOTS = 8
+# Maximum load of a replica, as a multiple of its slots.
 MAX_LOAD_FACTOR = 1.25
 
 
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -31,7 +31,9 @@
 from mulleinreach.common import rendezvous_rank
 from mulleinreach.routing.replicas import Candidate
 
+# Load above the mean that still allows affinity, as a fraction of the mean.
 MAX_EXCESS_LOAD = 0.25
+# Smallest load bound, as a fraction of a replica's slots.
 MIN_LOAD_BOUND = 0.85
 
 
--- a/mulleinreach/routing/tests/test_router.py
+++ b/mulleinreach/routing/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Choosing a replica by the conversation's ranking and the bound on load."""
+"""Tests for the choice of replicas by conversation affinity and load bound."""
 
 import random
 
