--- a/mulleinreach/admission/tests/test_queue.py
+++ b/mulleinreach/admission/tests/test_queue.py
@@ -30,7 +30,7 @@
     return Ticket("s", organisation, weight, priority, deadline)
 
 
-async def serve(queue, slots, count):
+async def free_slots(queue, slots, count):
     """Free one slot every 0.1 s, so that the queue admits the next request."""
     for _ in range(count):
         slots.free += 1
@@ -59,7 +59,7 @@
         tickets = [ticket("a", 3.0) for _ in range(40)] + [ticket("b", 1.0) for _ in range(40)]
         tasks = start_requests(queue, slots, tickets, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 40)
+        await free_slots(queue, slots, 40)
         counts = Counter(entered)
         assert abs(counts["a"] - 30) <= 1
         for task in tasks:
@@ -77,7 +77,7 @@
             task.cancel()
         tasks = start_requests(queue, slots, [ticket("a")] * 20 + [ticket("b")] * 20, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 20)
+        await free_slots(queue, slots, 20)
         assert abs(Counter(entered)["a"] - 10) <= 1
         for task in tasks:
             task.cancel()
@@ -91,7 +91,7 @@
         tickets = [ticket("low", priority=2)] * 3 + [ticket("high", priority=0)] * 3
         start_requests(queue, slots, tickets, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 6)
+        await free_slots(queue, slots, 6)
         assert entered == ["high"] * 3 + ["low"] * 3
 
     run(scenario)
@@ -113,7 +113,7 @@
         entered = []
         tasks = start_requests(queue, slots, [ticket("a")] * 30, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 10)  # ten per second
+        await free_slots(queue, slots, 10)  # ten per second
         began = asyncio.get_running_loop().time()
         with pytest.raises(MulleinreachError) as raised:
             await queue.enter(ticket("a", deadline=began + 1), slots.take, slots.release)
