--- a/mulleinreach/admission/shares.py
+++ b/mulleinreach/admission/shares.py
@@ -3,19 +3,12 @@
 Explanation
 ===========
 
-Each of N nodes owns 1 / N of an organisation's rate L and concurrency C. A node
-lends what it doesn't need to nodes that ask for it, in its replies to their
-pings. A loan lasts ``LOAN_DURATION_S``, counted by the borrower from before its
-ping, and by the lender from its reply and with a margin for clock drift. So the
-two never use it at the same time, and the sum of all shares never exceeds L,
-even if messages are lost or delayed.
-
-Each node's token bucket holds ``BURST_S`` seconds of its current share. In any T
-seconds all nodes together admit at most L * (T + BURST_S) requests, plus one for
-each node by rounding; docs/design/09-limits.md has the proof.
-
-N is the number of nodes listed in the table. While the nodes' lists differ, the
-sum can exceed L by the ratio of the longest to the shortest list.
+Each of N listed nodes owns 1 / N of an organisation's rate and concurrency, and
+lends what it doesn't need to nodes that ask in their pings. The borrower counts a
+loan's ``LOAN_DURATION_S`` from before its ping, the lender from its reply and with
+a margin for clock drift, so that the two never use it at the same time. The shares
+never exceed the limit while all nodes have the same list of nodes.
+docs/design/09-limits.md has the exact bound and its proof.
 """
 
 from __future__ import annotations
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -3,16 +3,11 @@
 Explanation
 ===========
 
-Before such a request is sent upstream, a row is inserted in the table under the
-organisation, the service and the caller's key, conditional on its absence. The
-row's token identifies the node and the claim. If the result of the write is
-unknown, the row is read back. If the result is still unknown, the request is
-not sent, the caller gets ``not_run``, and the claim is *released* in the
-background: a row with the state ``not_run`` is written in its place, so that
-the condition of the first write can no longer hold.
-
-A key whose row is ``not_run`` can be claimed again, conditional on that row's
-version. Claims and outcomes are written in one transaction per interval.
+Before such a request is sent upstream, a row is inserted in the table under its
+key, conditional on the row's absence. If the result of the write stays unknown
+after reading the row, the request is not sent, the caller gets ``not_run``, and
+the claim is *released*: a row with the state ``not_run`` is written in its place,
+so that the first write can no longer be applied. Such a key can be claimed again.
 """
 
 from __future__ import annotations
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -3,16 +3,12 @@
 Explanation
 ===========
 
-Requests of a conversation share a prompt prefix, so they should reach the same
-replica and its cache. Rendezvous hashing ranks the replicas for each
-conversation, identically at every node. The request goes to the first replica
-in this ranking whose load doesn't exceed the bound: ``MIN_LOAD_BOUND`` of its
-slots, or ``MAX_EXCESS_LOAD`` above the mean load, whichever is greater. Above
-the bound the conversation moves to the next replica of its ranking, which avoids
-that all nodes choose the same least loaded replica from delayed reports.
-
-A request without a key goes to the less loaded of two random replicas, for the
-same reason. docs/design/08-routing.md compares the alternatives.
+Rendezvous hashing ranks the replicas for each conversation, identically at every
+node, so that its requests reach the replica that cached their common prefix. The
+first replica in the ranking whose load is within the bound is chosen: the greater
+of ``MIN_LOAD_BOUND`` and ``MAX_EXCESS_LOAD`` above the mean. A request without a
+key goes to the less loaded of two random replicas. Neither sends all requests to
+the same least loaded replica when reports lag.
 
 References
 ==========
