--- a/mulleinreach/admission/queue.py
+++ b/mulleinreach/admission/queue.py
@@ -132,7 +132,7 @@
                 queue.admission_times.append(self._clock.now())
                 return slot
         flow = self._get_flow(queue, ticket)
-        self._reject_if_too_late(queue, flow, ticket)
+        self._reject_if_overloaded(queue, flow, ticket)
         waiter = _Waiter(ticket, try_acquire, asyncio.get_running_loop().create_future())
         flow.waiting.append(waiter)
         return await self._wait(queue, waiter, release)
@@ -166,7 +166,7 @@
                 queue, "the request waited until too little time was left before its deadline"
             ) from None
 
-    def _reject_if_too_late(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> None:
+    def _reject_if_overloaded(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> None:
         """Reject a request that would miss its deadline or exceed the queue's length."""
         share = self._weight_share(queue, flow, ticket)
         own_waiting = flow.count_waiting()
--- a/mulleinreach/requests/stream.py
+++ b/mulleinreach/requests/stream.py
@@ -88,8 +88,10 @@
 
     def feed(self, data: bytes) -> bytes:
         """Process received bytes; returns the bytes to deliver, which may be empty."""
-        is_plain = not self._partial_event and not self._buffered and data.endswith(EVENT_SEPARATOR)
-        if is_plain and data.count(EVENT_SEPARATOR) == 1:
+        is_aligned = (
+            not self._partial_event and not self._buffered and data.endswith(EVENT_SEPARATOR)
+        )
+        if is_aligned and data.count(EVENT_SEPARATOR) == 1:
             # Fast path for a single event at the next position.
             event = data[:-2]
             if event.startswith(b"%b%d\ndata: " % (self._prefix, self.next_position)):
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -65,8 +65,10 @@
 
     def _choose_of_two(self, available: list[Candidate]) -> Choice:
         two = available if len(available) == 1 else self._rng.sample(available, 2)
-        least = min(two, key=lambda c: c.load / c.slots)
-        return Choice(least, f"less loaded of {len(two)} at random ({least.load:.0f})")
+        least_loaded = min(two, key=lambda c: c.load / c.slots)
+        return Choice(
+            least_loaded, f"less loaded of {len(two)} at random ({least_loaded.load:.0f})"
+        )
 
     def _choose_by_rank(
         self, candidates: list[Candidate], available: list[Candidate], key: str
@@ -80,8 +82,8 @@
             if candidate.load <= bound * candidate.slots:
                 return Choice(candidate, _explain(candidate, skipped, bound))
             skipped.append(candidate)
-        least = min(skipped, key=lambda c: c.load / c.slots)
-        return Choice(least, f"all are over the bound of {bound:.0%}; least loaded")
+        least_loaded = min(skipped, key=lambda c: c.load / c.slots)
+        return Choice(least_loaded, f"all are over the bound of {bound:.0%}; least loaded")
 
 
 def _explain(candidate: Candidate, skipped: list[Candidate], bound: float) -> str:
