--- a/mulleinreach/requests/call.py
+++ b/mulleinreach/requests/call.py
@@ -48,7 +48,7 @@
     ===========
 
     After ``NOT_SENT`` or ``REFUSED`` the request is known not to have run.
-    ``LOST`` : the replica is no longer whole.
+    ``LOST`` : the replica is known not to be whole.
     ``MOVED`` : the stream was moved off a draining replica.
     """
 
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -5,7 +5,7 @@
 
 Rendezvous hashing ranks the replicas for each conversation, identically at every
 node, so that its requests reach the replica that cached their common prefix. The
-first replica in the ranking whose load is within the bound is chosen: the greater
+first replica in the ranking whose load is within the bound is selected: the greater
 of ``MIN_LOAD_BOUND`` and ``MAX_EXCESS_LOAD`` above the mean. A request without a
 key goes to the less loaded of two random replicas. Neither sends all requests to
 the same least loaded replica when reports lag.
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The chosen replica, and why it was chosen."""
+    """The selected replica, and the reason for the selection."""
 
     candidate: Candidate
     why: str
