--- a/mulleinreach/admission/__init__.py
+++ b/mulleinreach/admission/__init__.py
@@ -1,7 +1,7 @@
-"""Who may send how much: keys, limits of organisations, and the queue under load."""
+"""Admission control: API keys, limits of organisations, and the request queue."""
 
 from mulleinreach.admission.keys import KeyTable, hash_key
 from mulleinreach.admission.queue import AdmissionQueue, Ticket
 from mulleinreach.admission.shares import DistributedLimiter
 
-__all__ = ["AdmissionQueue", "KeyTable", "ShareLimits", "Ticket", "hash_key"]
+__all__ = ["AdmissionQueue", "DistributedLimiter", "KeyTable", "Ticket", "hash_key"]
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -1,16 +1,14 @@
-"""Which replica gets a request.
+"""Chooses the replica that a request is sent to.
 
 Explanation
 ===========
 
-Requests of a conversation share the beginning of their prompts, and rendezvous
-hashing ranks the replicas for each conversation, the same at every node. The
-request goes to the first in that ranking that is not over the bound: ``MIN_LOAD_BOUND`` of
-its slots, or ``MAX_EXCESS_LOAD`` above the mean load of all, whichever is more. So a
-conversation that spills goes to the same second choice each time, and nodes
-that share reports which lag do not all run to the same least loaded replica.
-A request without a key goes to the less loaded of two at random, for the same
-reason. docs/design/08-routing.md gives the figures, and those of what lost.
+Rendezvous hashing ranks the replicas for each conversation, identically at every
+node, so that its requests reach the replica that cached their common prefix. The
+first replica in the ranking whose load is within the bound is selected: the greater
+of ``MIN_LOAD_BOUND`` and ``MAX_EXCESS_LOAD`` above the mean. A request without a
+key goes to the less loaded of two random replicas. Neither sends all requests to
+the same least loaded replica when reports lag.
 
 References
 ==========
@@ -29,20 +27,22 @@
 from mulleinreach.common import rendezvous_rank
 from mulleinreach.routing.replicas import Candidate
 
+# Load above the mean that still allows affinity, as a fraction of the mean.
 MAX_EXCESS_LOAD = 0.25
+# Smallest load bound, as a fraction of a replica's slots.
 MIN_LOAD_BOUND = 0.85
 
 
 @dataclass(frozen=True)
 class Choice:
-    """The replica that was chosen, and why."""
+    """The selected replica, and the reason for the selection."""
 
     candidate: Candidate
     why: str
 
 
 class Router:
-    """Affinity by conversation, with a bound on load."""
+    """Chooses replicas by conversation affinity, within a bound on load."""
 
     def __init__(self, rng: random.Random):
         self._rng = rng
@@ -53,8 +53,8 @@
         Parameters
         ==========
 
-        candidates : all replicas that may be sent work, full ones too.
-        key : what should stay together; empty for no preference.
+        candidates : all replicas that may be sent requests, including full ones.
+        key : requests with the same key prefer the same replica; empty for none.
         """
         available = [candidate for candidate in candidates if candidate.has_capacity]
         if not available:
@@ -65,8 +65,10 @@
 
     def _choose_of_two(self, available: list[Candidate]) -> Choice:
         two = available if len(available) == 1 else self._rng.sample(available, 2)
-        least = min(two, key=lambda c: c.load / c.slots)
-        return Choice(least, f"less loaded of {len(two)} at random ({least.load:.0f})")
+        least_loaded = min(two, key=lambda c: c.load / c.slots)
+        return Choice(
+            least_loaded, f"less loaded of {len(two)} at random ({least_loaded.load:.0f})"
+        )
 
     def _choose_by_rank(
         self, candidates: list[Candidate], available: list[Candidate], key: str
@@ -80,12 +82,12 @@
             if candidate.load <= bound * candidate.slots:
                 return Choice(candidate, _explain(candidate, skipped, bound))
             skipped.append(candidate)
-        least = min(skipped, key=lambda c: c.load / c.slots)
-        return Choice(least, f"all are over the bound of {bound:.0%}; least loaded")
+        least_loaded = min(skipped, key=lambda c: c.load / c.slots)
+        return Choice(least_loaded, f"all are over the bound of {bound:.0%}; least loaded")
 
 
 def _explain(candidate: Candidate, skipped: list[Candidate], bound: float) -> str:
-    """Say which place in the conversation's ranking the choice has, and why not before."""
+    """Describe the choice's rank for the conversation and the skipped replicas."""
     load = f"load {candidate.load:.0f} of {candidate.slots}, bound {bound:.0%}"
     if not skipped:
         return f"first choice of its conversation ({load})"
