--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -332,11 +332,11 @@
         return sum_loads(self.coordination.node_reports())
 
     def _on_lost(self, upstream_id: str) -> None:
-        count = self.active.withdraw(upstream_id)
+        count = self.active.abort(upstream_id)
         self.log.event("upstream_lost", upstream=upstream_id, in_flight=count)
 
     def _on_content_held(self, content: int) -> None:
-        count = self.active.withdraw_content(content)
+        count = self.active.abort_content(content)
         self.log.event("held_withdrawn", content=format_digest(content), in_flight=count)
 
     def _describe_wake(self) -> dict[str, object]:
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -219,7 +219,7 @@
                 if not self._is_worth_repeating(job, result):
                     return self._pass_on(result)
                 job.failure = result
-            elif not self._sender.may_continue(job, result):
+            elif not self._sender.may_retry(job, result):
                 break
         return self._final_failure(job)
 
@@ -230,7 +230,7 @@
     async def _relay_stream(self, job: RelayJob) -> web.StreamResponse:
         response: web.StreamResponse | None = None
         if job.service.engine is not None and self._sender.is_late(job):
-            self._sender.tell_held_back(job)
+            self._sender.log_held_back(job)
             remaining_s = job.deadline - self._clock.now()
             await self._late_gate.wait(job.terms, job.headers, remaining_s)
         while (upstream := self._sender.next_upstream(job)) is not None:
@@ -250,17 +250,17 @@
                     if exchange.is_cut_by_upstream:
                         outcome = (
                             RunOutcome.ENDED_GIVING
-                            if exchange.has_given
+                            if exchange.has_received_body
                             else RunOutcome.ENDED_BEGUN
                         )
-                        await self._sender.look_for_end(job, upstream, outcome)
+                        await self._sender.check_ended(job, upstream, outcome)
             finally:
                 self._sender.end(exchange, ticket)
             if isinstance(result, Answered):
                 if response is None and not self._is_worth_repeating(job, result):
                     return self._pass_on(result)
                 job.failure = result
-            elif not self._sender.may_continue(job, result):
+            elif not self._sender.may_retry(job, result):
                 break
         if response is None:
             return self._final_failure(job)
@@ -292,7 +292,7 @@
         try:
             async with asyncio.timeout(max(0, job.deadline - self._clock.now())):
                 async for data in result.chunks(PAUSE_LIMIT_S):
-                    exchange.has_given = True
+                    exchange.has_received_body = True
                     ticket.progress()
                     await self._write_events(job, splitter, data, response)
         except (AnswerCut, TimeoutError) as error:
@@ -310,7 +310,7 @@
             return False
         finally:
             result.close()
-        return not exchange.is_withdrawn and not splitter.rest
+        return not exchange.is_aborted and not splitter.rest
 
     async def _write_events(
         self, job: RelayJob, splitter: EventSplitter, data: bytes, response: web.StreamResponse
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -132,7 +132,7 @@
             evacuated_halls=",".join(shortage.evacuated_halls),
         )
 
-    def may_continue(self, job: RelayJob, result: ExchangeResult) -> bool:
+    def may_retry(self, job: RelayJob, result: ExchangeResult) -> bool:
         """Whether the request may be sent again after an exchange without an answer."""
         if isinstance(result, NotSent | Refused):
             return True
@@ -191,7 +191,7 @@
         """Avoid an upstream whose stream was cut."""
         self._suspects.add(upstream_id)
 
-    async def look_for_end(self, job: RelayJob, upstream: Upstream, outcome: RunOutcome) -> None:
+    async def check_ended(self, job: RelayJob, upstream: Upstream, outcome: RunOutcome) -> None:
         """Find out whether an upstream that closed a request's connection has ended.
 
         Parameters
@@ -236,7 +236,7 @@
                 if done:
                     return sending.result()
                 if self._is_silent(upstream.id) and self._can_move(job):
-                    exchange.withdraw()
+                    exchange.abort()
         finally:
             sending.cancel()
 
@@ -262,7 +262,7 @@
             result = Broken("no answer in time")
         self._take_result(job, upstream, result)
         if isinstance(result, Broken) and result.is_closed:
-            await self.look_for_end(job, upstream, RunOutcome.ENDED)
+            await self.check_ended(job, upstream, RunOutcome.ENDED)
         return result
 
     def _patience_s(self, job: RelayJob, remaining_s: float) -> float:
@@ -319,7 +319,7 @@
         """Whether the answer can't come in time any more."""
         return self.lateness(job).is_late
 
-    def tell_held_back(self, job: RelayJob) -> None:
+    def log_held_back(self, job: RelayJob) -> None:
         """Log that a late request waits at this node for a head with free places, and why."""
         lateness = self.lateness(job)
         self._log.event(
