--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -42,7 +42,7 @@
     retry_after_s: float | None = None
 
 
-def common_homes(
+def common_regions(
     first: frozenset[str] | None, second: frozenset[str] | None
 ) -> frozenset[str] | None:
     """Return the regions that both allow, ``None`` if neither names any.
@@ -50,9 +50,9 @@
     Examples
     ========
 
-    >>> sorted(common_homes(frozenset({"a", "b"}), frozenset({"b", "c"})))
+    >>> sorted(common_regions(frozenset({"a", "b"}), frozenset({"b", "c"})))
     ['b']
-    >>> sorted(common_homes(None, frozenset({"c"})))
+    >>> sorted(common_regions(None, frozenset({"c"})))
     ['c']
     """
     if first is None or second is None:
@@ -94,7 +94,7 @@
             return self._deny(401, "unknown key")
         own_priority = organisation.priority
         priority = route.priority if own_priority is None else own_priority
-        homes = common_homes(route.allowed_regions, organisation.allowed_regions)
+        homes = common_regions(route.allowed_regions, organisation.allowed_regions)
         return Admitted(configuration, route, organisation.name, priority, homes)
 
     def _key_evidence_age_s(self) -> float:
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -31,7 +31,7 @@
 from mulleinreach.gateway.request.late import LateGate
 from mulleinreach.gateway.request.sending import MIN_REMAINING_S, Sender
 from mulleinreach.gateway.request.starting import StartGate
-from mulleinreach.gateway.request.urgency import FirstWaits
+from mulleinreach.gateway.request.urgency import FirstWaitEstimator
 
 # A stream without a byte for so long is continued elsewhere. A group that lost a member is noticed
 # within a second; callers leave after two seconds and more. Without it, a stream whose
@@ -67,7 +67,7 @@
         sender: Sender,
         dialect: Dialect,
         budget: WindowedRetryBudget,
-        first_waits: FirstWaits,
+        first_waits: FirstWaitEstimator,
         start_gate: StartGate,
         late_gate: LateGate,
         metrics: GatewayMetrics,
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -29,10 +29,10 @@
 )
 from mulleinreach.gateway.request.job import RelayJob, end_to_end_headers
 from mulleinreach.gateway.request.urgency import (
-    FirstWaits,
+    FirstWaitEstimator,
     Lateness,
     engine_priority,
-    is_kept_waiting,
+    would_miss_objective,
 )
 from mulleinreach.gateway.upstream import Upstream
 
@@ -59,7 +59,7 @@
         active: ActiveExchanges,
         suspects: SuspectList,
         budget: WindowedRetryBudget,
-        first_waits: FirstWaits,
+        first_waits: FirstWaitEstimator,
         crashes: CrashTracker,
         probe: EndedProbe,
         metrics: GatewayMetrics,
@@ -305,7 +305,7 @@
         if lateness.is_late or job.sends > 1:
             return lateness.is_late
         waited_s = self._clock.now() - job.started_at
-        return is_kept_waiting(job.admitted.route, job.admitted.priority, waited_s + wait_s)
+        return would_miss_objective(job.admitted.route, job.admitted.priority, waited_s + wait_s)
 
     def _priority(self, job: RelayJob, stands_back: bool) -> int:
         return engine_priority(job.admitted.priority, stands_back, is_moved=job.events_sent > 0)
--- a/mulleinreach/gateway/request/tests/test_urgency.py
+++ b/mulleinreach/gateway/request/tests/test_urgency.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN, LATE_PRIORITY, WAITS_KEPT, FirstWaits
+from mulleinreach.gateway.request.urgency import (
+    MIN_WAITS,
+    LATE_PRIORITY,
+    MAX_WAITS_PER_ROUTE,
+    FirstWaitEstimator,
+)
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import (
     LARGE,
@@ -35,11 +40,11 @@
 def test_request_that_comes_back_late_gives_way():
     async def test(world):
         await world.until_formed()
-        await teach(world, [8.0] * ENOUGH_SEEN)
+        await teach(world, [8.0] * MIN_WAITS)
         await world.stream(1, deadline_s=7.8)
         await world.stream(1, deadline_s=6.0)
         seen = list(world.fabric.checks.priorities.values())
-        assert seen == [["2"]] * (ENOUGH_SEEN + 1) + [[str(LATE_PRIORITY)]]
+        assert seen == [["2"]] * (MIN_WAITS + 1) + [[str(LATE_PRIORITY)]]
 
     run_world(test, nodes=1)
 
@@ -68,7 +73,7 @@
 
 
 def test_late_callers_are_told_from_impatient_ones():
-    waits = FirstWaits()
+    waits = FirstWaitEstimator()
     for wait_s in spread_waits(8.0, 0.15):
         waits.note(STREAM, wait_s, IN_TIME_S)
     assert not waits.is_late(STREAM, 8.0 * 0.85)
@@ -76,16 +81,16 @@
 
 
 def test_answers_that_come_late_teach_nothing():
-    waits = FirstWaits()
-    for _ in range(ENOUGH_SEEN):
+    waits = FirstWaitEstimator()
+    for _ in range(MIN_WAITS):
         waits.note(STREAM, 8.0, IN_TIME_S)
-    for _ in range(WAITS_KEPT):
+    for _ in range(MAX_WAITS_PER_ROUTE):
         waits.note(STREAM, 5.0, STREAM.objective_s + 0.1)
     assert waits.is_late(STREAM, 5.0)
 
 
 def test_retries_of_an_outage_do_not_hide_that_they_are_late():
-    waits = FirstWaits()
+    waits = FirstWaitEstimator()
     for wait_s in [8.0] * 190 + [5.0] * 9:
         waits.note(STREAM, wait_s, IN_TIME_S)
     assert waits.is_late(STREAM, 5.0)
@@ -107,18 +112,18 @@
 
 
 def test_first_wait_is_learned_anew_after_a_while():
-    waits = FirstWaits()
-    for _ in range(WAITS_KEPT):
+    waits = FirstWaitEstimator()
+    for _ in range(MAX_WAITS_PER_ROUTE):
         waits.note(STREAM, 60.0, IN_TIME_S)
-    for _ in range(WAITS_KEPT // 10):
+    for _ in range(MAX_WAITS_PER_ROUTE // 10):
         waits.note(STREAM, 6.0, IN_TIME_S)
     assert not waits.is_late(STREAM, 6.0)
     assert waits.is_late(STREAM, 5.0)
 
 
 def test_nobody_is_late_until_enough_requests_were_seen():
-    waits = FirstWaits()
-    for _ in range(ENOUGH_SEEN - 1):
+    waits = FirstWaitEstimator()
+    for _ in range(MIN_WAITS - 1):
         waits.note(STREAM, STREAM.timeout_s, IN_TIME_S)
     assert not waits.is_late(STREAM, 1.0)
     waits.note(STREAM, STREAM.timeout_s, IN_TIME_S)
@@ -129,7 +134,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
-        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
+        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(MIN_WAITS)))
         late = [asyncio.create_task(world.stream(40, deadline_s=6.0)) for _ in range(60)]
         await asyncio.sleep(0.5)
         node = world.nodes["node-0"]
@@ -148,7 +153,7 @@
     async def test(world):
         await world.until_formed()
         for name in world.nodes:
-            for _ in range(ENOUGH_SEEN):
+            for _ in range(MIN_WAITS):
                 await world.stream(1, deadline_s=8.0, node=name)
         await asyncio.sleep(2)
         for name in list(world.nodes):
