--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -12,7 +12,7 @@
 
 # A node whose evidence is older than it gets while all is well may have missed a
 # new route or key.
-CURRENT_EVIDENCE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
+MAX_CURRENT_EVIDENCE_AGE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
 RETRY_AFTER_S = 0.3
 
 
@@ -105,6 +105,6 @@
         return age_s
 
     def _deny(self, status: int, reason: str) -> Denied:
-        if self._in_force.evidence_age_s() > CURRENT_EVIDENCE_S:
+        if self._in_force.evidence_age_s() > MAX_CURRENT_EVIDENCE_AGE_S:
             return Denied(503, f"{reason} in an old configuration", RETRY_AFTER_S)
         return Denied(status, reason)
--- a/mulleinreach/gateway/request/connections.py
+++ b/mulleinreach/gateway/request/connections.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.common import Clock
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class CallerConnections:
@@ -70,5 +70,5 @@
         idle_timeout_s : returns the idle time in force.
         """
         while True:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.close_idle(list(server.connections), idle_timeout_s())
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -44,9 +44,9 @@
 # first may be sent to again, and be turned away once more. They come back over so many times the
 # rest. On memory, three bounded upstreams at half of their load, 5 of 1,080 callers give up
 # instead of 455 (0.3: 191); at a fifth none instead of 28, who wait 0.5 s longer than with 0.3.
-RETURN_SPREAD = 1.0
+RETRY_SPREAD_RATIO = 1.0
 # No caller waits longer, and an upstream may be replaced before a longer rest is over.
-LONGEST_RETRY_AFTER_S = 60.0
+MAX_RETRY_AFTER_S = 60.0
 
 
 def _header_bytes(request: web.BaseRequest) -> int:
@@ -345,8 +345,8 @@
         rest = self._sender.rest(job)
         if rest is None:
             return RETRY_AFTER_S
-        until_s = rest.remaining_s + self._rng.uniform(0, RETURN_SPREAD * rest.requested_s)
-        return min(until_s, LONGEST_RETRY_AFTER_S)
+        until_s = rest.remaining_s + self._rng.uniform(0, RETRY_SPREAD_RATIO * rest.requested_s)
+        return min(until_s, MAX_RETRY_AFTER_S)
 
     def _own_answer(
         self, headers: CallerHeaders, status: int, retry_after_s: float | None
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -38,13 +38,13 @@
 
 MIN_REMAINING_S = 0.005
 # How often a request that waits for the head of its answer looks whether its upstream is silent.
-SILENCE_STEP_S = 0.4
+SILENCE_CHECK_INTERVAL_S = 0.4
 # A stream without a head is moved to another upstream, if one may take it, once no request of
 # this node at its upstream has had a byte for so long.
 SILENCE_LIMIT_S = 1.3
 # Streams may be sent once more for each replica that they lost, up to so often: one that was cut
 # off no longer runs the request. One that failed has run it, and counts.
-EXTRA_RESUMES = 2
+MAX_EXTRA_RESUMES = 2
 
 
 class Sender:
@@ -102,7 +102,7 @@
             return None
         limit = job.admitted.route.max_attempts
         if job.events_sent and not job.fell_silent:
-            limit += min(job.lost_runs, EXTRA_RESUMES)
+            limit += min(job.lost_runs, MAX_EXTRA_RESUMES)
         if job.sends >= limit:
             return None
         if self._crashes.is_held(job.content):
@@ -232,7 +232,7 @@
         sending = asyncio.ensure_future(self._send(job, exchange, upstream, wants_stream=True))
         try:
             while True:
-                done, _ = await asyncio.wait({sending}, timeout=SILENCE_STEP_S)
+                done, _ = await asyncio.wait({sending}, timeout=SILENCE_CHECK_INTERVAL_S)
                 if done:
                     return sending.result()
                 if self._is_silent(upstream.id) and self._can_move(job):
--- a/mulleinreach/gateway/request/starting.py
+++ b/mulleinreach/gateway/request/starting.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-PATIENCE_S = 0.4
+MAX_WAIT_S = 0.4
 
 
 class StartGate:
@@ -24,7 +24,7 @@
     patience_s : the longest time that a request is held back.
     """
 
-    def __init__(self, events: list[asyncio.Event], patience_s: float = PATIENCE_S):
+    def __init__(self, events: list[asyncio.Event], patience_s: float = MAX_WAIT_S):
         self._events = events
         self._patience_s = patience_s
 
