--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -23,14 +23,14 @@
     Parameters
     ==========
 
-    homes : the regions whose upstreams may serve it; ``None`` if any may.
+    allowed_regions : the regions whose upstreams may serve it; ``None`` if any may.
     """
 
     configuration: Configuration
     route: Route
     organisation: str | None
     priority: int
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 @dataclass(frozen=True)
@@ -94,8 +94,8 @@
             return self._deny(401, "unknown key")
         own_priority = organisation.priority
         priority = route.priority if own_priority is None else own_priority
-        homes = common_regions(route.allowed_regions, organisation.allowed_regions)
-        return Admitted(configuration, route, organisation.name, priority, homes)
+        allowed_regions = common_regions(route.allowed_regions, organisation.allowed_regions)
+        return Admitted(configuration, route, organisation.name, priority, allowed_regions)
 
     def _key_evidence_age_s(self) -> float:
         """Return how long ago no key can have been taken away without our knowing it."""
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -42,19 +42,22 @@
         self._rng = rng
 
     async def wait(
-        self, terms: RequestConstraints, headers: CallerHeaders, remaining_s: float
+        self, constraints: RequestConstraints, headers: CallerHeaders, remaining_s: float
     ) -> None:
         """Wait for a head with free places, or until the patience is over."""
         until = self._clock.now() + min(MAX_WAIT_S, MAX_WAIT_FRACTION * remaining_s)
-        while self._clock.now() < until and self._is_full(terms, headers):
+        while self._clock.now() < until and self._is_full(constraints, headers):
             await asyncio.sleep(self._rng.uniform(MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S))
 
-    def _is_full(self, terms: RequestConstraints, headers: CallerHeaders) -> bool:
+    def _is_full(self, constraints: RequestConstraints, headers: CallerHeaders) -> bool:
         """Whether the head that is drawn is nearly full; a model without heads has none to fill.
 
         A request that no head may take is refused sooner than it would be after a wait.
         """
-        head = self._chooser.choose(terms, headers, set())
+        head = self._chooser.choose(constraints, headers, set())
         if head is None:
             return False
-        return self._loads.running(head.id) >= MAX_LATE_SLOT_FRACTION * terms.service.engine.slots
+        return (
+            self._loads.running(head.id)
+            >= MAX_LATE_SLOT_FRACTION * constraints.service.engine.slots
+        )
