--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -238,7 +238,7 @@
         "FAILBACK",
         "all sends count, repeats and resumed streams too",
         f"{GATEWAY}/request/sending.py",
-        "        self._chooser.note_sent(job.terms, upstream)\n",
+        "        self._chooser.note_sent(job.constraints, upstream)\n",
         "",
         f"{GATEWAY}/known/tests/test_cold.py -k retries",
     ),
--- a/mulleinreach/gateway/request/tests/test_urgency.py
+++ b/mulleinreach/gateway/request/tests/test_urgency.py
@@ -8,9 +8,9 @@
 import pytest
 
 from mulleinreach.gateway.request.urgency import (
-    MIN_WAITS,
     LATE_PRIORITY,
     MAX_WAITS_PER_ROUTE,
+    MIN_WAITS,
     FirstWaitEstimator,
 )
 from mulleinreach.gateway.tests.support import run_world
