--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -133,7 +133,7 @@
             response = await self._relay_stream(job)
         else:
             response = await self._relay_plain(job)
-        self._record_answer(job, response, started_at)
+        self._record_completion(job, response, started_at)
         return response
 
     def _refuse_held(self, job: RelayJob) -> web.Response:
@@ -148,7 +148,7 @@
         )
         return self._gateway_answer(job.headers, HTTPStatus.SERVICE_UNAVAILABLE, HELD_RETRY_AFTER_S)
 
-    def _record_answer(
+    def _record_completion(
         self, job: RelayJob, response: web.StreamResponse, started_at: float
     ) -> None:
         elapsed_s = self._clock.now() - started_at
