--- a/mulleinreach/gateway/request/__init__.py
+++ b/mulleinreach/gateway/request/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a request: admission, choice of when to send, exchange with an upstream."""
+"""Request path of the gateway: admission, scheduling, retries, exchange with an upstream."""
--- a/mulleinreach/gateway/request/active.py
+++ b/mulleinreach/gateway/request/active.py
@@ -1,4 +1,4 @@
-"""The exchanges that this node has in flight, so that a lost upstream's can be ended at once."""
+"""The exchanges that this node has in flight, which are aborted when their upstream is lost."""
 
 from __future__ import annotations
 
@@ -15,21 +15,20 @@
 
 
 class ActiveExchange:
-    """An exchange that can be ended from outside.
+    """An exchange that another task can abort.
 
     Parameters
     ==========
 
-    content : digest of the request.
+    content : digest of the request's content.
     """
 
     def __init__(self, upstream_id: str, content: int):
         self.upstream_id = upstream_id
         self.content = content
         self.is_aborted = False
-        # Whether anything of the answer's body has come.
         self.has_received_body = False
-        # Whether the upstream's connection ended before the answer did.
+        # Whether the connection was closed or reset before the end of the answer.
         self.is_cut = False
         self._task: asyncio.Task | None = None
         self._streaming: Streaming | None = None
@@ -41,7 +40,7 @@
         request: OutgoingRequest,
         wants_stream: bool,
     ) -> ExchangeResult:
-        """Send a request; ends as :class:`Broken` if the upstream is withdrawn meanwhile."""
+        """Send a request; returns :class:`Broken` if the exchange is aborted meanwhile."""
         self._task = asyncio.create_task(client.send(upstream, request, wants_stream))
         try:
             result = await self._task
@@ -55,11 +54,11 @@
 
     @property
     def is_cut_by_upstream(self) -> bool:
-        """Whether the answer was cut, and not by this node."""
+        """Whether the connection was lost, and not because this node aborted the exchange."""
         return self.is_cut and not self.is_aborted
 
     def abort(self) -> None:
-        """End the exchange because its upstream is lost, or the request ends upstreams."""
+        """Abort the exchange: its upstream is lost, or the request makes upstreams crash."""
         self.is_aborted = True
         if self._streaming is not None:
             self._streaming.close()
@@ -68,33 +67,33 @@
 
 
 class ActiveExchanges:
-    """All exchanges in flight, by upstream."""
+    """All exchanges in flight, by id of the upstream."""
 
     def __init__(self) -> None:
         self._by_upstream: dict[str, set[ActiveExchange]] = {}
 
     def begin(self, upstream_id: str, content: int) -> ActiveExchange:
-        """Note an exchange that is about to start."""
+        """Register an exchange that is about to start."""
         exchange = ActiveExchange(upstream_id, content)
         self._by_upstream.setdefault(upstream_id, set()).add(exchange)
         return exchange
 
     def end(self, exchange: ActiveExchange) -> None:
-        """Forget an exchange."""
+        """Remove an exchange that is over."""
         exchanges = self._by_upstream.get(exchange.upstream_id, set())
         exchanges.discard(exchange)
         if not exchanges:
             self._by_upstream.pop(exchange.upstream_id, None)
 
     def abort(self, upstream_id: str) -> int:
-        """End all exchanges with a lost upstream; returns how many there were."""
+        """Abort all exchanges with a lost upstream; returns how many there were."""
         exchanges = list(self._by_upstream.get(upstream_id, ()))
         for exchange in exchanges:
             exchange.abort()
         return len(exchanges)
 
     def abort_content(self, content: int) -> int:
-        """End all exchanges for a request that have given nothing; returns how many there were."""
+        """Abort all exchanges of a request without a body so far; returns how many there were."""
         exchanges = [
             exchange
             for at_upstream in self._by_upstream.values()
--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may be served, from the configuration in force and its age."""
+"""Decides whether a request may be served, by the configuration in force and its age."""
 
 from __future__ import annotations
 
@@ -10,15 +10,14 @@
 from mulleinreach.gateway.model import Configuration, Route
 from mulleinreach.gateway.ports import CallerHeaders
 
-# A node whose evidence is older than it gets while all is well may have missed a
-# new route or key.
+# Not exceeded in normal operation; beyond this age, a new route or key may be missing.
 MAX_CURRENT_EVIDENCE_AGE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
 RETRY_AFTER_S = 0.3
 
 
 @dataclass(frozen=True)
 class Admitted:
-    """The request may be sent on.
+    """The request may be sent to an upstream.
 
     Parameters
     ==========
@@ -35,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Denied:
-    """The request isn't served; ``retry_after_s`` is set where another try may be."""
+    """The request is refused; ``retry_after_s`` is set if a retry may succeed."""
 
     status: int
     reason: str
@@ -45,7 +44,7 @@
 def common_regions(
     first: frozenset[str] | None, second: frozenset[str] | None
 ) -> frozenset[str] | None:
-    """Return the regions that both allow, ``None`` if neither names any.
+    """Return the regions in both sets; ``None`` stands for all regions.
 
     Examples
     ========
@@ -68,11 +67,11 @@
         self._bounds = bounds
 
     def evidence_age_s(self) -> float:
-        """Return the age of the evidence that decisions rest on."""
+        """Return the age of the evidence that the configuration is current."""
         return self._in_force.evidence_age_s()
 
     def check(self, host: str, path: str, headers: CallerHeaders) -> Admitted | Denied:
-        """Return under which terms a request is served, or why it isn't."""
+        """Return the conditions under which a request is served, or why it is refused."""
         configuration = self._in_force.configuration
         if configuration is None:
             return Denied(503, "no configuration was read yet", RETRY_AFTER_S)
@@ -87,7 +86,7 @@
         self, configuration: Configuration, route: Route, headers: CallerHeaders
     ) -> Admitted | Denied:
         if self._key_evidence_age_s() > self._bounds.max_key_evidence_age_s:
-            # A key may have been taken away without our knowing it.
+            # A key may have been revoked since.
             return Denied(503, "the configuration can't be confirmed", RETRY_AFTER_S)
         organisation = configuration.organisation_for_key(headers.api_key or "")
         if organisation is None:
@@ -98,7 +97,7 @@
         return Admitted(configuration, route, organisation.name, priority, allowed_regions)
 
     def _key_evidence_age_s(self) -> float:
-        """Return how long ago no key can have been taken away without our knowing it."""
+        """Return the age of the evidence that no key was revoked; a store outage may renew it."""
         age_s = self._in_force.evidence_age_s()
         if self._bounds.trusts_keys_in_outages:
             return min(age_s, self._in_force.store_unreachable_age_s())
--- a/mulleinreach/gateway/request/budget.py
+++ b/mulleinreach/gateway/request/budget.py
@@ -1,4 +1,4 @@
-"""The budget of second sends to a service, of which each node has its share."""
+"""The retry budget of a service, of which each node has a share."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class WindowedRetryBudget:
-    """Allows second sends up to a share of the requests within a sliding window.
+    """Allows retries up to a fraction of the requests within a sliding window.
 
     Explanation
     ===========
 
-    The operators' bound holds for all nodes together. A node uses its own
-    requests for the ratio, and an equal part of the slack. ``SAFETY_FACTOR`` covers
-    nodes that count different requests in their windows.
+    The configured bound holds for all nodes together. A node applies the ratio to its
+    own requests and takes an equal part of the slack. ``SAFETY_FACTOR`` allows for
+    differences between the nodes' windows.
     """
 
     def __init__(self, bounds: DeploymentBounds, clock: Clock, node_count: Callable[[], int]):
@@ -34,7 +34,7 @@
         self._recent(self._requests, service).append(self._clock.now())
 
     def try_spend(self, service: str) -> bool:
-        """Take one second send from the budget, if there is one left."""
+        """Take one retry from the budget; returns whether there was one left."""
         requests = len(self._recent(self._requests, service))
         retries = self._recent(self._retries, service)
         slack = self._bounds.retry_slack / max(1, self._node_count())
--- a/mulleinreach/gateway/request/connections.py
+++ b/mulleinreach/gateway/request/connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: which are answering, and for how long the others have rested."""
+"""Tracks callers' connections and closes idle ones."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CallerConnections:
-    """Closes connections at rest after the idle time that the configuration allows.
+    """Closes idle connections after the configured timeout.
 
     Explanation
     ===========
 
-    The idle time may change with each configuration, whereas the HTTP server takes
-    one when a connection begins; so the time at rest is watched here. A connection
-    that has sent no whole request yet counts as resting.
+    The idle timeout may change with each configuration, whereas the HTTP server fixes it
+    when a connection is opened; so idle times are tracked here. A connection without a
+    complete request counts as idle.
     """
 
     def __init__(self, clock: Clock):
@@ -29,17 +29,17 @@
         self._idle_since: dict[RequestHandler, float] = {}
 
     def begin(self, connection: RequestHandler) -> None:
-        """Note that a request has come over a connection."""
+        """Mark a connection as busy with a request."""
         self._busy.add(connection)
         self._idle_since.pop(connection, None)
 
     def end(self, connection: RequestHandler) -> None:
-        """Note that the request was answered."""
+        """Mark a connection as idle after the answer."""
         self._busy.discard(connection)
         self._idle_since[connection] = self._clock.now()
 
     def close_idle(self, connections: Iterable[RequestHandler], idle_timeout_s: float) -> None:
-        """Close those that have rested for too long."""
+        """Close connections that have been idle for too long."""
         now = self._clock.now()
         open_now = [c for c in connections if c not in self._busy]
         self._idle_since = {c: self._idle_since.get(c, now) for c in open_now}
@@ -49,10 +49,9 @@
             connection.force_close()
 
     def close_all(self, connections: Iterable[RequestHandler]) -> None:
-        """Close connections at rest now, and the others after their answer.
+        """Close idle connections now, and busy ones after their answer.
 
-        A connection at rest that was only told to close later would read a request
-        and drop it.
+        ``close`` alone would let an idle connection read one more request and drop it.
         """
         for connection in connections:
             if connection in self._busy:
@@ -61,13 +60,13 @@
                 connection.force_close()
 
     async def watch(self, server, idle_timeout_s) -> None:
-        """Close idle connections for ever.
+        """Close idle connections periodically, without end.
 
         Parameters
         ==========
 
-        server : the HTTP server, whose ``connections`` are those that are open.
-        idle_timeout_s : returns the idle time in force.
+        server : HTTP server; ``connections`` lists its open connections.
+        idle_timeout_s : callable that returns the idle timeout in force.
         """
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
--- a/mulleinreach/gateway/request/ends.py
+++ b/mulleinreach/gateway/request/ends.py
@@ -1,4 +1,4 @@
-"""Finds out whether an upstream's process has ended, or has only lost one answer."""
+"""Checks whether an upstream's process has ended or only one connection was lost."""
 
 from __future__ import annotations
 
@@ -7,19 +7,18 @@
 from mulleinreach.common import Network
 from mulleinreach.gateway.upstream import Upstream
 
-# An ended process refuses a connection within a round trip, some milliseconds between halls. The
-# request that waits for this is sent elsewhere afterwards.
+# Short, since the retry of the request waits for the probe.
 PROBE_TIMEOUT_S = 0.1
 
 
 class EndedProbe:
-    """Asks for a connection, which an ended process refuses."""
+    """Opens a TCP connection, which the host of an ended process refuses."""
 
     def __init__(self, network: Network):
         self._network = network
 
     async def has_ended(self, upstream: Upstream) -> bool:
-        """Whether an upstream refuses connections; silence shows nothing."""
+        """Whether an upstream refuses connections; a timeout or another error counts as no."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await self._network.connect(upstream.address)
--- a/mulleinreach/gateway/request/events.py
+++ b/mulleinreach/gateway/request/events.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events.
+"""Splits a byte stream into server-sent events.
 
 References
 ==========
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True)
 class Event:
-    """The bytes of one event as they came, and its id if it has one."""
+    """The raw bytes of one event, and its id if it has one."""
 
     data: bytes
     id: str | None
 
 
 class EventSplitter:
-    """Gathers bytes and gives out whole events.
+    """Buffers bytes and returns complete events.
 
     Examples
     ========
@@ -40,7 +40,7 @@
         self.rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that ``data`` completes."""
+        """Add bytes and return the events that they complete; the remainder stays in ``rest``."""
         self.rest += data
         events = []
         start = 0
--- a/mulleinreach/gateway/request/exchange.py
+++ b/mulleinreach/gateway/request/exchange.py
@@ -1,10 +1,10 @@
-"""One exchange with an upstream; each way in which it can end is a value.
+"""HTTP exchange with an upstream; each possible result has a class of its own.
 
 Explanation
 ===========
 
-Each request has a connection of its own. A kept connection may hold a surplus
-answer or may be gone without a word, and a new one costs a millisecond.
+Each request has a connection of its own, since a reused connection may be stale
+or hold unread data of an earlier answer.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class OutgoingRequest:
-    """What is sent to an upstream: ``target`` is the path and query as they came."""
+    """A request to an upstream; ``target`` is the raw path and query of the caller's request."""
 
     method: str
     target: str
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """The upstream says that it didn't and won't run the request."""
+    """The upstream refused the request: it has not run it and won't."""
 
     status: int
 
 
 @dataclass(frozen=True)
 class Broken:
-    """No whole answer came; the request may have run.
+    """No complete answer was received; the request may have run.
 
     Parameters
     ==========
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     headers: CIMultiDictProxy[str]
@@ -82,12 +82,12 @@
     response: aiohttp.ClientResponse
 
     async def chunks(self, pause_limit_s: float) -> AsyncIterator[bytes]:
-        """Yield bytes as they come; raises :class:`AnswerCut` unless the end was sound.
+        """Yield bytes as they arrive; raises :class:`AnswerCut` if the body is incomplete.
 
         Parameters
         ==========
 
-        pause_limit_s : the longest time between bytes; :class:`AnswerSilent` after it.
+        pause_limit_s : longest time without data; :class:`AnswerSilent` is raised after it.
         """
         protocol = self.response.connection.protocol if self.response.connection else None
         while data := await self._next_chunk(pause_limit_s):
@@ -95,7 +95,7 @@
         _check_not_reset(self.response, protocol)
 
     async def _next_chunk(self, pause_limit_s: float) -> bytes:
-        """Return what came next, nothing at the end."""
+        """Return the next bytes, empty at the end."""
         pause = asyncio.timeout(pause_limit_s)
         try:
             async with pause:
@@ -108,16 +108,16 @@
             raise AnswerCut(f"{type(error).__name__}: {error}") from error
 
     def close(self) -> None:
-        """End the exchange; the upstream sees its connection closed."""
+        """Close the connection."""
         self.response.close()
 
 
 class AnswerCut(Exception):
-    """An answer's body ended before it was whole."""
+    """The connection ended before the answer's body was complete."""
 
 
 class AnswerSilent(AnswerCut):
-    """Nothing of an answer's body came for too long; it may still be on its way."""
+    """No data was received for too long; the connection is still open."""
 
 
 ExchangeResult = NotSent | Refused | Broken | Answered | Streaming
@@ -126,8 +126,8 @@
 def _check_not_reset(response: aiohttp.ClientResponse, protocol) -> None:
     """Raise :class:`AnswerCut` if a body without length ended with a reset.
 
-    Such a body ends with its connection; aiohttp ends it in the same way whether
-    the connection was closed or reset, but keeps the error at the protocol.
+    Such a body ends when the connection is closed. aiohttp doesn't distinguish a close from
+    a reset there, but keeps the error in the protocol object.
     """
     headers = response.headers
     has_length = "Content-Length" in headers or "Transfer-Encoding" in headers
@@ -144,7 +144,7 @@
     Parameters
     ==========
 
-    on_notice : called with what each answer says of the upstream, as soon as its head has come.
+    on_notice : called with the upstream's notice in the headers of each answer.
     """
 
     def __init__(
@@ -160,7 +160,7 @@
     async def send(
         self, upstream: Upstream, request: OutgoingRequest, wants_stream: bool
     ) -> ExchangeResult:
-        """Send a request; a successful answer to be streamed is given back unread."""
+        """Send a request; with ``wants_stream``, the body of a successful answer is left unread."""
         try:
             response = await self._session.request(
                 request.method,
--- a/mulleinreach/gateway/request/job.py
+++ b/mulleinreach/gateway/request/job.py
@@ -1,4 +1,4 @@
-"""One request of a caller on its way, and the headers that go along with it."""
+"""State of a caller's request, and the headers that are forwarded with it."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def end_to_end_headers(headers: CIMultiDictProxy[str]) -> CIMultiDict[str]:
-    """Return a message's headers without those that concern one connection only.
+    """Return a message's headers without the hop-by-hop ones.
 
     Examples
     ========
@@ -49,12 +49,12 @@
 
 @dataclass
 class RelayJob:
-    """One request of a caller, with what has become of it so far.
+    """One request of a caller and the state of its sends.
 
     Parameters
     ==========
 
-    content : digest of what is asked for; the same where a caller asks for it again.
+    content : digest of the request's content, which is the same for retries by the caller.
     """
 
     request: web.BaseRequest
@@ -67,8 +67,8 @@
     deadline: float
     caller_gives_up_at: float
     tried: set[str] = field(default_factory=set)
-    # Where upstreams ended before they gave anything. The next one may end for the same reason:
-    # a hall that is failing, or the request, which an end in another hall then shows.
+    # Halls of upstreams that ended before they sent any data. The next send prefers another hall:
+    # if the upstream there ends too, the request is the probable cause, not a failing hall.
     ended_halls: set[str] = field(default_factory=set)
     sends: int = 0
     priority: int = 0
@@ -79,19 +79,19 @@
     first_event_at: float | None = None
     last_event_at: float | None = None
     longest_pause_s: float = 0.0
-    # Whether a stream was left since nothing came; its replica may still run the request.
+    # Whether a stream was left after a timeout; its replica may still run the request.
     has_stalled: bool = False
-    # How many replicas broke the stream off after it had begun; they no longer run it.
+    # Replicas whose stream broke off; they no longer run the request.
     lost_runs: int = 0
     upstream_id: str = ""
 
     @property
     def constraints(self) -> RequestConstraints:
-        """What decides on its upstreams."""
+        """Constraints on the choice of upstreams."""
         return RequestConstraints(self.service, self.admitted.allowed_regions)
 
     def note_events(self, count: int, now: float) -> None:
-        """Note that events were passed on to the caller."""
+        """Record that events were forwarded to the caller."""
         if self.first_event_at is None:
             self.first_event_at = now
         else:
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -1,12 +1,12 @@
-"""Keeps places at the engines for requests that can still be in time.
+"""Reserves slots of the engines for requests that can still meet their objective.
 
 Explanation
 ===========
 
-After an outage, the requests that it delayed come back together, late already, and
-would fill every place at the engines for as long as a stream lasts; the requests that
-come then would be late too. So a request that is late waits at its node, for a while
-at most, until a head with free places is drawn for it.
+After an outage, many callers retry at once. Their requests are late already and would
+occupy all slots of the engines for as long as a stream lasts, so that new requests would
+be late too. A late request therefore waits at its node, for a limited time, until the
+head chosen for it has free slots.
 """
 
 from __future__ import annotations
@@ -20,18 +20,16 @@
 from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import CallerHeaders
 
-# Seconds, and the share of what is left of a caller's time, that a late request waits at most.
-# Worth 0.014 of a day's worth on a site that weighs its worst seconds most (ten days), and
-# nothing measurable on another.
+# Longest wait of a late request: in seconds, and as a fraction of the caller's remaining time.
 MAX_WAIT_S = 1.0
 MAX_WAIT_FRACTION = 0.25
 MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S = 0.03, 0.09
-# The share of a head's places that late requests may fill.
+# Late requests are sent only while less than this fraction of a head's slots is in use.
 MAX_LATE_SLOT_FRACTION = 0.6
 
 
 class LateGate:
-    """Holds late requests back while heads are nearly full."""
+    """Delays late requests while the heads are nearly full."""
 
     def __init__(
         self, chooser: UpstreamChooser, loads: LoadTracker, clock: Clock, rng: random.Random
@@ -44,15 +42,15 @@
     async def wait(
         self, constraints: RequestConstraints, headers: CallerHeaders, remaining_s: float
     ) -> None:
-        """Wait for a head with free places, or until the patience is over."""
+        """Wait until a head has free slots, or the longest wait is over."""
         until = self._clock.now() + min(MAX_WAIT_S, MAX_WAIT_FRACTION * remaining_s)
         while self._clock.now() < until and self._is_full(constraints, headers):
             await asyncio.sleep(self._rng.uniform(MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S))
 
     def _is_full(self, constraints: RequestConstraints, headers: CallerHeaders) -> bool:
-        """Whether the head that is drawn is nearly full; a model without heads has none to fill.
+        """Whether the head chosen for a request is nearly full.
 
-        A request that no head may take is refused sooner than it would be after a wait.
+        Returns ``False`` if there is none, so that the request is refused without delay.
         """
         head = self._chooser.choose(constraints, headers, set())
         if head is None:
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -1,4 +1,4 @@
-"""Takes a caller's request, has it sent to upstreams and gives back the answer."""
+"""Handles a caller's request: reads it, has it sent to upstreams and returns the answer."""
 
 from __future__ import annotations
 
@@ -33,19 +33,13 @@
 from mulleinreach.gateway.request.starting import StartGate
 from mulleinreach.gateway.request.urgency import FirstWaitEstimator
 
-# A stream without a byte for so long is continued elsewhere. A group that lost a member is noticed
-# within a second; callers leave after two seconds and more. Without it, a stream whose
-# connection had fallen silent stood until its deadline (7.5 s on memory), then was cut.
+# A stream without a byte for this time is resumed at another upstream, before callers give up.
 PAUSE_LIMIT_S = 1.5
-# A request that ends upstreams is held for an hour. Callers that heed this don't come again; those
-# that come sooner cost no upstream anything.
+# Value of Retry-After for a held request, which isn't sent since upstreams crash when they run it.
 HELD_RETRY_AFTER_S = 60.0
-# Callers who were refused since all upstreams rest would come back in the one moment at which the
-# first may be sent to again, and be turned away once more. They come back over so many times the
-# rest. On memory, three bounded upstreams at half of their load, 5 of 1,080 callers give up
-# instead of 455 (0.3: 191); at a fifth none instead of 28, who wait 0.5 s longer than with 0.3.
+# Jitter of Retry-After as a fraction of the upstream's rest, against simultaneous retries.
 RETRY_SPREAD_RATIO = 1.0
-# No caller waits longer, and an upstream may be replaced before a longer rest is over.
+# An upstream may be replaced before a longer rest is over.
 MAX_RETRY_AFTER_S = 60.0
 
 
@@ -59,7 +53,7 @@
 
 
 class Relay:
-    """The handler of callers' requests."""
+    """HTTP handler of callers' requests."""
 
     def __init__(
         self,
@@ -91,7 +85,7 @@
         self.is_stopping = False
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Answer one request; closes its connection afterwards if the node is stopping."""
         started_at = self._clock.now()
         self.in_flight += 1
         self.connections.begin(request.protocol)
@@ -137,7 +131,7 @@
         return response
 
     def _refuse_held(self, job: RelayJob) -> web.Response:
-        """Refuse a request that ends the upstreams which run it, without sending it."""
+        """Refuse a held request, which isn't sent since upstreams crash when they run it."""
         self._metrics.count_denied(HTTPStatus.SERVICE_UNAVAILABLE)
         self._log.event(
             "request_denied",
@@ -226,7 +220,7 @@
         return self._final_failure(job)
 
     def _is_retryable(self, job: RelayJob, result: Answered) -> bool:
-        """Whether a failure may be tried elsewhere."""
+        """Whether a server error may be retried at another upstream."""
         return result.status >= 500 and job.admitted.route.is_repeatable
 
     async def _relay_stream(self, job: RelayJob) -> web.StreamResponse:
@@ -288,7 +282,7 @@
         ticket: InFlightRequest,
         response: web.StreamResponse,
     ) -> bool:
-        """Pass on whole events; returns whether the stream came to its sound end."""
+        """Forward complete events to the caller; returns whether the stream ended without error."""
         splitter = EventSplitter()
         events_before = job.events_sent
         try:
@@ -332,7 +326,7 @@
         )
 
     def _final_failure(self, job: RelayJob) -> web.Response:
-        """Return the answer to a request that is given up."""
+        """Return the error response to a request that isn't retried any more."""
         if job.failure is not None:
             return self._forward(job.failure)
         if not job.may_have_run:
@@ -343,7 +337,7 @@
         return self._gateway_answer(job.headers, 504 if is_late else 502, None)
 
     def _retry_after_s(self, job: RelayJob) -> float:
-        """Return when a caller whose request has not run should ask again."""
+        """Return the Retry-After for a request that has not run, in seconds."""
         rest = self._sender.rest(job)
         if rest is None:
             return RETRY_AFTER_S
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -1,4 +1,4 @@
-"""Sends a request to upstreams, one after the other, as far as its route allows."""
+"""Sends a request to upstreams and retries within the limits of its route."""
 
 from __future__ import annotations
 
@@ -37,18 +37,16 @@
 from mulleinreach.gateway.upstream import Upstream
 
 MIN_REMAINING_S = 0.005
-# How often a request that waits for the head of its answer looks whether its upstream is silent.
+# Interval of the check whether an upstream still sends, while a request waits for the head.
 SILENCE_CHECK_INTERVAL_S = 0.4
-# A stream without a head is moved to another upstream, if one may take it, once no request of
-# this node at its upstream has had a byte for so long.
+# Time without any data from an upstream, after which streams without a head are moved from it.
 SILENCE_LIMIT_S = 1.3
-# Streams may be sent once more for each replica that they lost, up to so often: one that was cut
-# off no longer runs the request. One that failed has run it, and counts.
+# Sends of a stream beyond the route's limit, one for each replica lost in mid-stream.
 MAX_EXTRA_RESUMES = 2
 
 
 class Sender:
-    """Chooses upstreams for requests and exchanges with them."""
+    """Chooses upstreams for requests, sends the requests and records the results."""
 
     def __init__(
         self,
@@ -81,10 +79,10 @@
         self._log = log
 
     async def wait_for_permit(self, job: RelayJob) -> None:
-        """Wait for a permit if nothing but limits keeps a request away from all upstreams.
+        """Wait for a permit if only rate limits exclude all upstreams.
 
-        That takes one answer of the coordinator at most, and no time while it has told that
-        permits are short.
+        Waits for at most one answer of the coordinator, and not at all while the coordinator
+        reports that permits are exhausted.
         """
         awaited = await self._chooser.wait_for_permit(job.constraints, job.headers)
         if awaited is not None:
@@ -97,7 +95,7 @@
             )
 
     def next_upstream(self, job: RelayJob) -> Upstream | None:
-        """Return where to send the request next, or ``None`` if it is given up."""
+        """Return the next upstream, or ``None`` if the request must not be sent again."""
         if job.deadline - self._clock.now() < MIN_REMAINING_S:
             return None
         limit = job.admitted.route.max_attempts
@@ -116,10 +114,10 @@
         return upstream
 
     def _log_shortage(self, job: RelayJob) -> None:
-        """Tell why a request finds no upstream."""
+        """Log why no upstream is available for a request."""
         shortage = self._chooser.exclusion_summary(job.constraints, job.headers, job.tried)
         engine = job.service.engine
-        # Callers may name anything as a model.
+        # The model's name comes from the caller; only a configured one is logged.
         model = engine.model(job.headers.model or "") if engine else None
         self._log.event(
             "no_upstream",
@@ -133,14 +131,14 @@
         )
 
     def may_retry(self, job: RelayJob, result: ExchangeResult) -> bool:
-        """Whether the request may be sent again after an exchange without an answer."""
+        """Whether the request may be retried after an exchange without an answer."""
         if isinstance(result, NotSent | Refused):
             return True
         job.may_have_run = True
         return job.admitted.route.is_repeatable
 
     async def send_once(self, job: RelayJob, upstream: Upstream) -> ExchangeResult:
-        """Send a request whose answer is taken whole."""
+        """Send a request and read the whole answer."""
         exchange, ticket = self.begin(job, upstream)
         try:
             return await self._send(job, exchange, upstream, wants_stream=False)
@@ -148,7 +146,7 @@
             self.end(exchange, ticket)
 
     def begin(self, job: RelayJob, upstream: Upstream) -> tuple[ActiveExchange, InFlightRequest]:
-        """Note that a request is about to be sent; :meth:`end` has to follow."""
+        """Register a request that is about to be sent; :meth:`end` has to be called after it."""
         job.tried.add(upstream.id)
         job.sends += 1
         job.upstream_id = upstream.id
@@ -177,27 +175,27 @@
         self._chooser.note_sent(job.constraints, upstream)
         if self._chooser.is_evacuated(upstream):
             self._metrics.count_evacuated_send(upstream.hall)
-        # An answer that is taken whole doesn't tell when the engine lets its request in.
+        # Without a stream there is no event that shows when the engine has admitted the request.
         is_behind = stands_back and job.admitted.route.kind is RouteKind.STREAMING
         ticket = self._loads.start(upstream.id, job.headers.prompt_tokens or 0, is_behind)
         return self._active.begin(upstream.id, job.content), ticket
 
     def end(self, exchange: ActiveExchange, ticket: InFlightRequest) -> None:
-        """Note that an exchange is over."""
+        """Remove an exchange that is over."""
         ticket.finish()
         self._active.end(exchange)
 
     def suspect(self, upstream_id: str) -> None:
-        """Avoid an upstream whose stream was cut."""
+        """Mark an upstream whose stream was cut as suspect."""
         self._suspects.add(upstream_id)
 
     async def check_ended(self, job: RelayJob, upstream: Upstream, outcome: RunOutcome) -> None:
-        """Find out whether an upstream that closed a request's connection has ended.
+        """Check whether an upstream that closed a request's connection has ended, and record it.
 
         Parameters
         ==========
 
-        outcome : what became of the run if that is so.
+        outcome : outcome of the run that is recorded if the upstream has ended.
         """
         if not await self._probe.has_ended(upstream):
             return
@@ -214,15 +212,15 @@
         self._crashes.note_end(job.content, upstream, outcome)
 
     def note_served(self, job: RelayJob, upstream: Upstream) -> None:
-        """Note that an upstream has run a request to its end."""
+        """Record that an upstream has answered a request completely."""
         self._crashes.note_served(job.content, upstream)
 
     def is_held(self, job: RelayJob) -> bool:
-        """Whether a request isn't sent, since it ends the upstreams that run it."""
+        """Whether a request is held: not sent, since upstreams crash when they run it."""
         return self._crashes.is_held(job.content)
 
     def rest(self, job: RelayJob) -> Rest | None:
-        """Return the rest that ends first, if all upstreams that could serve a request rest."""
+        """Return the rest (back-off) that ends first if all eligible upstreams are resting."""
         return self._chooser.rest(job.constraints, job.headers)
 
     async def open_stream(
@@ -241,13 +239,13 @@
             sending.cancel()
 
     def _can_move(self, job: RelayJob) -> bool:
-        """Whether a stream could be moved to another replica."""
+        """Whether the request is repeatable and another replica is available."""
         if not job.admitted.route.is_repeatable:
             return False
         return self._chooser.choose(job.constraints, job.headers, job.tried) is not None
 
     def _is_silent(self, upstream_id: str) -> bool:
-        """Whether none of our requests at an upstream has had a byte for too long."""
+        """Whether an upstream has sent nothing to this node's requests for too long."""
         return self._loads.stalled_s(upstream_id) > SILENCE_LIMIT_S
 
     async def _send(
@@ -290,15 +288,15 @@
             )
 
     def _stands_back(self, job: RelayJob, lateness: Lateness, wait_s: float) -> bool:
-        """Whether a request lets others go first, since its first event can't come in time.
+        """Whether a request stands back: gets the lowest priority, as it will miss its objective.
 
-        A request whose caller has had events never does, and one that an upstream has failed
-        already lost its time through no fault of its own.
+        A stream whose caller has received events never stands back. The predicted wait of a
+        retry isn't considered, since its delay is due to the failed upstream.
 
         Parameters
         ==========
 
-        wait_s : how long others are predicted to make it wait at the upstream.
+        wait_s : predicted wait in the upstream's queue.
         """
         if job.events_sent:
             return False
@@ -311,16 +309,16 @@
         return engine_priority(job.admitted.priority, stands_back, is_moved=job.events_sent > 0)
 
     def lateness(self, job: RelayJob) -> Lateness:
-        """Return whether the answer can't come in time any more, and why."""
+        """Return whether the answer would miss the route's objective, with the values compared."""
         wait_s = job.caller_gives_up_at - self._clock.now()
         return self._first_waits.lateness(job.admitted.route, wait_s)
 
     def is_late(self, job: RelayJob) -> bool:
-        """Whether the answer can't come in time any more."""
+        """Whether the answer would miss the route's objective."""
         return self.lateness(job).is_late
 
     def log_held_back(self, job: RelayJob) -> None:
-        """Log that a late request waits at this node for a head with free places, and why."""
+        """Log that a late request waits at this node for a head with free slots, and why."""
         lateness = self.lateness(job)
         self._log.event(
             "request_held_back",
--- a/mulleinreach/gateway/request/starting.py
+++ b/mulleinreach/gateway/request/starting.py
@@ -1,4 +1,4 @@
-"""Lets the first requests of a node wait until it knows enough to serve them."""
+"""Delays the first requests of a node until it has what it needs to serve them."""
 
 from __future__ import annotations
 
@@ -8,20 +8,19 @@
 
 
 class StartGate:
-    """Holds requests back for a moment while the node has just been started.
+    """Delays requests for a short time after the start of the node.
 
     Explanation
     ===========
 
-    A node listens before it has read the configuration and the list of upstreams,
-    which takes some hundredths of a second. A request that comes in between would be
-    refused, and most callers try only once more; it can be served if it waits.
+    A node listens before it has read the configuration and the list of upstreams. A
+    request that arrives before that waits instead of being refused.
 
     Parameters
     ==========
 
-    events : all are set once the node knows enough.
-    max_wait_s : the longest time that a request is held back.
+    events : set once the configuration and the list of upstreams were read.
+    max_wait_s : longest delay of a request.
     """
 
     def __init__(self, events: list[asyncio.Event], max_wait_s: float = MAX_WAIT_S):
@@ -29,7 +28,7 @@
         self._max_wait_s = max_wait_s
 
     async def wait(self) -> None:
-        """Wait until the node knows enough, or the patience is over."""
+        """Wait until all events are set, for ``max_wait_s`` at most."""
         if all(event.is_set() for event in self._events):
             return
         try:
--- a/mulleinreach/gateway/request/urgency.py
+++ b/mulleinreach/gateway/request/urgency.py
@@ -1,17 +1,12 @@
-"""How urgent a request is to the engine that lets it in; priority 0 goes first.
+"""Computes the priority of a request at the engine's queue; 0 is the most urgent.
 
 Explanation
 ===========
 
-A stream that was moved to another replica goes first: its caller waits in the middle
-of an answer. A request that is late already earns little more by being early, and
-after an outage many such requests come back at once; those that can still be in time
-go before them. In between, the configuration's priority decides.
-
-A caller does not tell how long ago it first asked. But it tells how long it will go
-on waiting, and each of its tries waits less. Callers differ in their patience, so a
-short wait alone shows nothing: only one that is shorter than nearly all callers of
-the route wait, and by more than the route's objective, is surely that of a late try.
+Streams moved to another replica come first. Late requests, which will miss their objective,
+come last, so that retries after an outage don't delay new requests. Callers send only their
+remaining timeout: a request is late if it is shorter than the timeout of nearly all first
+attempts of the route by more than the route's objective.
 """
 
 from __future__ import annotations
@@ -25,20 +20,14 @@
 HIGHEST_PRIORITY = 1
 LOWEST_PRIORITY = 8
 LATE_PRIORITY = 9
-# The part of a route's objective that a request may wait for others and still be in time: an
-# engine needs the rest to read a usual prompt and to write the first event.
+# Fraction of a route's objective; the engine needs the rest for the prompt and first event.
 MAX_QUEUE_FRACTION = 0.7
-# Waits kept of each route, and how many show how callers differ. A node takes two requests a
-# second of a busy route, so these are from the last minutes.
+# Sample size of the timeouts of a route's callers, and the minimum for an estimate.
 MAX_WAITS_PER_ROUTE = 200
 MIN_WAITS = 20
-# The share of callers that may wait less than what counts as the shortest first wait. It is
-# larger than the share of retries among the waits that are kept, which would hide late tries,
-# and a kind of caller that is rarer is taken for late. With waits spread evenly over 60% of the
-# longest one, the error is 0.03 of it, less than the objective of usual routes.
+# Fraction of the timeouts, the shortest ones, that the estimate ignores as possible retries.
 IGNORED_SHORT_FRACTION = 0.05
-# Routes told to nodes that start: services have few kinds of request, and the row that
-# carries them stays under 4 KB.
+# Keeps the stored row that carries the estimates small.
 MAX_ANNOUNCED_ROUTES = 50
 
 
@@ -48,9 +37,9 @@
     Parameters
     ==========
 
-    priority : of the configuration; 0 is the most urgent.
-    stands_back : whether it lets others go first, since its answer can't come in time.
-    is_moved : whether the caller has had a part of the answer already.
+    priority : priority in the configuration; 0 is the most urgent.
+    stands_back : whether the request gets the lowest priority, since it will miss its objective.
+    is_moved : whether the caller has already received part of the answer.
 
     Examples
     ========
@@ -72,16 +61,16 @@
 
 
 def would_miss_objective(route: Route, priority: int, wait_s: float) -> bool:
-    """Whether a request waits so long for others that its first event can't come in time.
+    """Whether a request waits too long in queues for its first event to meet the objective.
 
-    Where more requests come than there are places, those that go first are in time and
-    the others late; in the order of their coming, nearly all would be a little late.
+    Under overload, putting such requests last keeps the others within their objective;
+    first come, first served would make nearly all of them late.
 
     Parameters
     ==========
 
-    priority : of the request; one that goes before others of its route isn't put behind them.
-    wait_s : how long others have made it wait and are predicted to.
+    priority : priority of the request; one that is more urgent than its route is never put last.
+    wait_s : time spent waiting so far plus the predicted wait, in seconds.
 
     Examples
     ========
@@ -103,9 +92,9 @@
     Parameters
     ==========
 
-    caller_wait_s : how much longer the caller will wait.
-    first_wait_s : what nearly all callers of the route wait for when they first ask; 0 if unknown.
-    objective_s : the route's objective.
+    caller_wait_s : remaining timeout of the caller.
+    first_wait_s : timeout that nearly all first attempts of the route exceed; 0 if unknown.
+    objective_s : objective of the route for the time to the first event.
 
     Examples
     ========
@@ -120,24 +109,24 @@
 
     @property
     def is_late(self) -> bool:
-        """Whether the answer can't come in time any more."""
+        """Whether the timeout is shorter than on first attempts by more than the objective."""
         return self.first_wait_s - self.caller_wait_s > self.objective_s
 
 
 class _RouteWaits:
-    """The latest waits of a route's callers."""
+    """The latest timeouts of a route's callers."""
 
     def __init__(self) -> None:
         self._latest: deque[float] = deque(maxlen=MAX_WAITS_PER_ROUTE)
         self._min_first_wait_s: float | None = None
 
     def add(self, wait_s: float) -> None:
-        """Take in how long a caller will wait."""
+        """Add the timeout of a caller."""
         self._latest.append(wait_s)
         self._min_first_wait_s = None
 
     def min_first_wait_s(self) -> float:
-        """Return what nearly all callers wait for at least; 0 until enough were seen."""
+        """Return the timeout that nearly all callers exceed; 0 until there are enough samples."""
         if len(self._latest) < MIN_WAITS:
             return 0.0
         if self._min_first_wait_s is None:
@@ -147,15 +136,14 @@
 
 
 class FirstWaitEstimator:
-    """Learns how long callers wait for an answer when they first ask, by route.
+    """Estimates the timeout of callers' first attempts, by route.
 
     Explanation
     ===========
 
-    It learns from requests that were answered in time. Where nothing is known yet nobody
-    is taken for late: a request that is put back wrongly is late for nothing, and costs
-    more than one that goes too soon. After an outage of all nodes the requests that it
-    delayed come first, so nodes that start are told what an earlier coordinator knew.
+    The samples are requests that were answered within the objective. No request counts as
+    late while there are too few samples. A node that starts takes the values announced by
+    an earlier coordinator, since after an outage its first requests are retries.
 
     Examples
     ========
@@ -174,11 +162,11 @@
         self._announced: dict[str, float] = {}
 
     def take_announced(self, waits: tuple[CallerTimeout, ...]) -> None:
-        """Take what a coordinator knew, for routes of which this node has seen too little."""
+        """Store a coordinator's values, used for routes with too few samples at this node."""
         self._announced = {wait.route: wait.shortest_s for wait in waits}
 
     def known(self) -> tuple[CallerTimeout, ...]:
-        """Return what is known of the routes that nodes which start should hear of."""
+        """Return the estimates to announce to nodes that start."""
         routes = list({**self._waits, **self._announced})
         waits = [CallerTimeout(route, self._min_first_wait_s(route)) for route in routes]
         return tuple(wait for wait in waits if wait.shortest_s > 0)[:MAX_ANNOUNCED_ROUTES]
@@ -188,17 +176,23 @@
         return (own.min_first_wait_s() if own else 0.0) or self._announced.get(route, 0.0)
 
     def note(self, route: Route, wait_s: float, answered_s: float) -> None:
-        """Note how long a caller would have waited, and after which time it had its answer.
+        """Add a caller's timeout as a sample if its answer came within the objective.
+
+        Later answers are left out, since many of their requests are retries.
+
+        Parameters
+        ==========
 
-        Only answers in time teach: when they are late, many callers ask again.
+        wait_s : timeout of the caller.
+        answered_s : time to the first event.
         """
         if answered_s <= route.objective_s:
             self._waits.setdefault(route.name, _RouteWaits()).add(wait_s)
 
     def lateness(self, route: Route, wait_s: float) -> Lateness:
-        """Return how a caller that waits ``wait_s`` more compares with others of its route."""
+        """Return the remaining timeout ``wait_s`` compared with first attempts of the route."""
         return Lateness(wait_s, self._min_first_wait_s(route.name), route.objective_s)
 
     def is_late(self, route: Route, wait_s: float) -> bool:
-        """Whether the answer to a caller that waits ``wait_s`` more can't come in time."""
+        """Whether a request with the remaining timeout ``wait_s`` counts as late."""
         return self.lateness(route, wait_s).is_late
