--- a/mulleinreach/gateway/request/connections.py
+++ b/mulleinreach/gateway/request/connections.py
@@ -41,8 +41,8 @@
     def close_idle(self, connections: Iterable[RequestHandler], idle_timeout_s: float) -> None:
         """Close connections that have been idle for too long."""
         now = self._clock.now()
-        open_now = [c for c in connections if c not in self._busy]
-        self._idle_since = {c: self._idle_since.get(c, now) for c in open_now}
+        not_busy = [c for c in connections if c not in self._busy]
+        self._idle_since = {c: self._idle_since.get(c, now) for c in not_busy}
         idle = [c for c, since in self._idle_since.items() if now - since > idle_timeout_s]
         for connection in idle:
             del self._idle_since[connection]
--- a/mulleinreach/gateway/request/events.py
+++ b/mulleinreach/gateway/request/events.py
@@ -46,8 +46,8 @@
         start = 0
         for end in _END_OF_EVENT.finditer(self.rest):
             raw = self.rest[start : end.end()]
-            found = _ID_LINE.search(raw)
-            events.append(Event(raw, found.group(1).decode("latin-1") if found else None))
+            id_line = _ID_LINE.search(raw)
+            events.append(Event(raw, id_line.group(1).decode("latin-1") if id_line else None))
             start = end.end()
         self.rest = self.rest[start:]
         return events
--- a/mulleinreach/gateway/request/exchange.py
+++ b/mulleinreach/gateway/request/exchange.py
@@ -96,12 +96,12 @@
 
     async def _next_chunk(self, pause_limit_s: float) -> bytes:
         """Return the next bytes, empty at the end."""
-        pause = asyncio.timeout(pause_limit_s)
+        pause_timeout = asyncio.timeout(pause_limit_s)
         try:
-            async with pause:
+            async with pause_timeout:
                 return await self.response.content.readany()
         except TimeoutError as error:
-            if not pause.expired():
+            if not pause_timeout.expired():
                 raise
             raise AnswerSilent(f"nothing came for {pause_limit_s:g} s") from error
         except (aiohttp.ClientError, OSError, ValueError) as error:
--- a/mulleinreach/gateway/request/job.py
+++ b/mulleinreach/gateway/request/job.py
@@ -38,12 +38,12 @@
     >>> dict(end_to_end_headers(headers))
     {'A': '2'}
     """
-    named = {
+    connection_options = {
         token.strip().casefold()
         for value in headers.getall("Connection", ())
         for token in value.split(",")
     }
-    dropped = _HOP_HEADERS | named
+    dropped = _HOP_HEADERS | connection_options
     return CIMultiDict((k, v) for k, v in headers.items() if k.casefold() not in dropped)
 
 
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -43,8 +43,8 @@
         self, constraints: RequestConstraints, headers: CallerHeaders, remaining_s: float
     ) -> None:
         """Wait until a head has free slots, or the longest wait is over."""
-        until = self._clock.now() + min(MAX_WAIT_S, MAX_WAIT_FRACTION * remaining_s)
-        while self._clock.now() < until and self._is_full(constraints, headers):
+        give_up_at = self._clock.now() + min(MAX_WAIT_S, MAX_WAIT_FRACTION * remaining_s)
+        while self._clock.now() < give_up_at and self._is_full(constraints, headers):
             await asyncio.sleep(self._rng.uniform(MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S))
 
     def _is_full(self, constraints: RequestConstraints, headers: CallerHeaders) -> bool:
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -189,7 +189,7 @@
         started_at: float,
     ) -> RelayJob:
         route = admitted.route
-        caller_s = route.timeout_s if headers.deadline_s is None else headers.deadline_s
+        caller_timeout_s = route.timeout_s if headers.deadline_s is None else headers.deadline_s
         name = route.pick_service(self._rng)
         content = content_digest(
             request.method, route.host, request.raw_path, admitted.organisation or "", body
@@ -202,8 +202,8 @@
             body=body,
             content=content,
             started_at=started_at,
-            deadline=started_at + min(caller_s, route.timeout_s),
-            caller_gives_up_at=started_at + caller_s,
+            deadline=started_at + min(caller_timeout_s, route.timeout_s),
+            caller_gives_up_at=started_at + caller_timeout_s,
             last_event_id=headers.last_event_id,
         )
 
@@ -341,8 +341,8 @@
         rest = self._sender.rest(job)
         if rest is None:
             return RETRY_AFTER_S
-        until_s = rest.remaining_s + self._rng.uniform(0, RETRY_SPREAD_RATIO * rest.requested_s)
-        return min(until_s, MAX_RETRY_AFTER_S)
+        delay_s = rest.remaining_s + self._rng.uniform(0, RETRY_SPREAD_RATIO * rest.requested_s)
+        return min(delay_s, MAX_RETRY_AFTER_S)
 
     def _gateway_answer(
         self, headers: CallerHeaders, status: int, retry_after_s: float | None
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -176,8 +176,8 @@
         if self._chooser.is_evacuated(upstream):
             self._metrics.count_evacuated_send(upstream.hall)
         # Without a stream there is no event that shows when the engine has admitted the request.
-        is_behind = stands_back and job.admitted.route.kind is RouteKind.STREAMING
-        ticket = self._loads.start(upstream.id, job.headers.prompt_tokens or 0, is_behind)
+        is_deprioritized = stands_back and job.admitted.route.kind is RouteKind.STREAMING
+        ticket = self._loads.start(upstream.id, job.headers.prompt_tokens or 0, is_deprioritized)
         return self._active.begin(upstream.id, job.content), ticket
 
     def end(self, exchange: ActiveExchange, ticket: InFlightRequest) -> None:
@@ -227,16 +227,16 @@
         self, job: RelayJob, exchange: ActiveExchange, upstream: Upstream, ticket: InFlightRequest
     ) -> ExchangeResult:
         """Send the request and wait for the head of the answer."""
-        sending = asyncio.ensure_future(self._send(job, exchange, upstream, wants_stream=True))
+        send_task = asyncio.ensure_future(self._send(job, exchange, upstream, wants_stream=True))
         try:
             while True:
-                done, _ = await asyncio.wait({sending}, timeout=SILENCE_CHECK_INTERVAL_S)
+                done, _ = await asyncio.wait({send_task}, timeout=SILENCE_CHECK_INTERVAL_S)
                 if done:
-                    return sending.result()
+                    return send_task.result()
                 if self._is_silent(upstream.id) and self._can_move(job):
                     exchange.abort()
         finally:
-            sending.cancel()
+            send_task.cancel()
 
     def _can_move(self, job: RelayJob) -> bool:
         """Whether the request is repeatable and another replica is available."""
