--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -16,7 +16,7 @@
         f"{GATEWAY}/request/sending.py",
         "if self._crashes.is_held(job.content):",
         "if False:",
-        f"{CRASHING} -k taken_back",
+        f"{CRASHING} -k aborted",
     ),
     Breakage(
         "BUDGET",
@@ -24,7 +24,7 @@
         f"{GATEWAY}/request/relay.py",
         "is_held(job):\n            return self._refuse_held(job)\n        self._budget",
         "is_held(job) and False:\n            return None\n        self._budget",
-        f"{CRASHING} -k waits_nowhere",
+        f"{CRASHING} -k without_waiting",
     ),
     Breakage(
         "BUDGET",
@@ -64,7 +64,7 @@
         f"{GATEWAY}/knowledge.py",
         "self._crashes.merge_held(inheritance.held)",
         "pass",
-        f"{CRASHING} -k start_again",
+        f"{CRASHING} -k survives_a_restart",
     ),
     Breakage(
         "BUDGET",
@@ -72,7 +72,7 @@
         f"{GATEWAY}/node.py",
         "count = self.active.withdraw_content(content)",
         "count = 0",
-        f"{CRASHING} -k taken_back",
+        f"{CRASHING} -k aborted",
     ),
     Breakage(
         "BUDGET",
--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -273,7 +273,7 @@
         f"{GATEWAY}/request/sending.py",
         "return is_kept_waiting(job.admitted.route, job.admitted.priority, waited_s + wait_s)",
         "return False",
-        f"{GATEWAY}/request/tests/test_crowded_heads.py -k stand_back_for",
+        f"{GATEWAY}/request/tests/test_crowded_heads.py -k would_miss_the_objective",
     ),
     Breakage(
         "CREDIT",
--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -51,7 +51,7 @@
         "        self._on_notice(upstream, self._dialect.read_notice(",
         "        if self._dialect.belongs_to(response.headers, request.request_id):\n"
         "            self._on_notice(upstream, self._dialect.read_notice(",
-        f"{APART} -k nobody_s_request",
+        f"{APART} -k unknown_request_id",
     ),
     Breakage(
         "DRAIN",
@@ -59,7 +59,7 @@
         f"{GATEWAY}/node.py",
         "self.ports.orders.subscribe(self._on_notice)",
         "pass",
-        f"{HEEDED} -k questions",
+        f"{HEEDED} -k probe_answer",
     ),
     Breakage(
         "DRAIN",
@@ -83,7 +83,7 @@
         f"{GATEWAY}/request/relay.py",
         "        if rest is None:\n            return RETRY_AFTER_S",
         "        return RETRY_AFTER_S",
-        f"{HEEDED} -k told_at_once",
+        f"{HEEDED} -k retry_after_at_once",
     ),
     Breakage(
         "BUDGET",
