--- a/mulleinreach/gateway/request/tests/test_admission.py
+++ b/mulleinreach/gateway/request/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Keys and configurations decide which requests are served."""
+"""API keys and configurations decide which requests are admitted."""
 
 from __future__ import annotations
 
@@ -72,6 +72,3 @@
         assert (await world.call("/order/1")).status == 401
 
     run_world(test, **NO_HOSTS)
-
-
-# Streams.
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""DeploymentBounds that hold over all nodes or over a whole deployment: second sends, time, loads."""
+"""Bounds over all nodes or a whole deployment: retries, deadlines and loads of weights."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         budgets = [WindowedRetryBudget(bounds, clock, lambda: NODES) for _ in range(NODES)]
         requests_at, second_sends_at = [], []
         for _ in range(6000):
-            # Shares are uneven, and each request would be sent a second time.
+            # Nodes get uneven shares, and each request asks for a second send.
             budget = budgets[min(int(rng.expovariate(0.5)), NODES - 1)]
             budget.count_request("service")
             requests_at.append(clock.now())
@@ -126,10 +126,7 @@
 
 
 def test_failing_stream_with_a_lost_replica_keeps_to_the_attempts_of_its_route():
-    """Only a replica that was lost excuses one more; one that failed has run the request.
-
-    Seen in a hunt: a failure, a replica that crashed amid the stream, a failure and a fourth run.
-    """
+    """A run at a lost replica may be replaced; a run that failed counts as an attempt."""
 
     async def test(world):
         await world.until_formed()
--- a/mulleinreach/gateway/request/tests/test_callers.py
+++ b/mulleinreach/gateway/request/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers may do with bodies, heads and streams of their own."""
+"""Chunked bodies, header limits and resumed streams of callers."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _BodyRecorder:
-    """An upstream's script that keeps the bodies that it reads."""
+    """Script of an upstream that records the request bodies."""
 
     def __init__(self):
         self.bodies: list[bytes] = []
--- a/mulleinreach/gateway/request/tests/test_connections.py
+++ b/mulleinreach/gateway/request/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""How long callers' connections may rest."""
+"""Idle timeouts of callers' connections, and their closing at a planned stop."""
 
 from __future__ import annotations
 
--- a/mulleinreach/gateway/request/tests/test_crashing_requests.py
+++ b/mulleinreach/gateway/request/tests/test_crashing_requests.py
@@ -1,13 +1,7 @@
-"""A request that ends each replica which begins to run it is held back at all nodes.
+"""A request that crashes each replica that runs it is held at all nodes.
 
-Seen: for half a minute a tenth and more of one route's requests went unserved. All heads of a
-model ended one after the other, a quarter of a second after a send each, came back, and ended
-again. How it came about: one request ended the replica that began to run it. Its node sent it
-on at once, its caller asked again at other nodes, under new ids. Cause: a request was known by
-its id alone, which is new with each attempt, so nobody knew what had become of the earlier
-attempts. Proof: the lines of sends, which now tell a digest of the content.
-
-``test_sound_requests_kept.py`` has what must be told apart from it.
+Guards against retries of one request, under new ids and at other nodes, that crash all
+replicas of a service. ``test_sound_requests_kept.py`` checks that other requests aren't held.
 """
 
 from __future__ import annotations
@@ -23,11 +17,11 @@
 
 FATAL_BODY = b"999"
 THREE_HALLS = {"halls": 3, "nodes": 3, "domains": 3}
-# Nodes that are in touch know for sure by then, says the operators' bound.
+# Connected nodes must know a crashing request within this time.
 PROPAGATION_S = 3.0
-# So often may they send it even after that.
+# Arrivals at upstreams that are allowed after that time.
 MAX_LATE_ARRIVALS = 3
-# Two ends show which request it is; one more copy may be on its way to a head meanwhile.
+# Two crashes identify the request; further copies may already be in flight.
 MAX_CRASHES = 4
 
 
@@ -43,7 +37,7 @@
 
 
 def arrivals_after_propagation(world: GatewayWorld) -> int:
-    """Return how often it reached an upstream once all nodes had to know."""
+    """Return how often the request reached an upstream after the propagation time."""
     third_crash_at = world.crashes.ended[2].at
     return sum(moment.at > third_crash_at + PROPAGATION_S for moment in world.crashes.arrivals)
 
@@ -107,7 +101,7 @@
 
 
 def test_hold_survives_a_restart_of_all_nodes():
-    """No node has a disk: what must last stands in the store."""
+    """Nodes have no disk, so held requests are kept in the store."""
 
     async def test(world):
         await world.until_formed()
@@ -142,7 +136,7 @@
 
 
 def test_copy_that_waits_at_a_replica_is_aborted():
-    """A copy that has been sent, and has begun nowhere yet, must not begin any more."""
+    """A copy that was sent but hasn't started must not start once its content is held."""
 
     async def test(world):
         await world.until_formed()
@@ -206,7 +200,7 @@
 
 
 def test_crashes_that_nodes_saw_before_their_coordinator_was_lost_still_count():
-    """An order may be sent once in a try, so no node sees more than one end of it."""
+    """Requests of the order route are sent only once, so each node sees at most one crash."""
 
     async def test(world):
         for number in range(6):
--- a/mulleinreach/gateway/request/tests/test_crowded_heads.py
+++ b/mulleinreach/gateway/request/tests/test_crowded_heads.py
@@ -1,7 +1,6 @@
-"""More requests than places: some are in time and some wait, instead of all being a little late.
+"""Requests beyond the capacity of a model's heads get the late priority and wait.
 
-The load is that of a hall that is lost or emptied: a third of the places go in one moment,
-and what the others can't take in time comes at the same pace as what they can.
+Guards against an overload that makes all requests miss the objective of their route.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 USUAL_PRIORITY = HIGHEST_PRIORITY + 1
 OBJECTIVE_S = make_configuration().routes[0].objective_s
-# So many wait for a place and are in time all the same.
+# Requests that can queue at a head and still meet the objective.
 MAX_WAITING = round(WAIT_SHARE * OBJECTIVE_S * 1000 / QUEUED_PENALTY_MS)
 EVENT_COUNT = 40
 
@@ -35,7 +34,7 @@
         )
         assert in_time + yielding == len(flood)
         assert PROFILE.slots <= in_time <= PROFILE.slots + MAX_WAITING
-        # Once there is room, the next request is as usual again.
+        # With free slots, the next request gets the usual priority again.
         await world.stream(1)
         assert list(world.fabric.checks.priorities.values())[-1] == [str(USUAL_PRIORITY)]
 
@@ -49,7 +48,7 @@
         yielding = [tracker.start("u", 100, stands_back=True) for _ in range(9)]
         assert (tracker.running("u"), tracker.running_ahead("u")) == (12, 3)
         assert tracker.pending_tokens("u") == 300
-        # An engine that has let one in reads no other first.
+        # A request that has started isn't overtaken, so it counts as ahead.
         yielding[0].progress()
         assert tracker.running_ahead("u") == 4
         ahead[0].finish()
--- a/mulleinreach/gateway/request/tests/test_exchange.py
+++ b/mulleinreach/gateway/request/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Answers that end with their connection, over real sockets: only they can be reset."""
+"""Answers without a length that end with a closed or reset connection, over real sockets."""
 
 import asyncio
 import socket
@@ -26,7 +26,7 @@
 
 
 def ignore_notice(upstream, notice):
-    """Take no notice of what an upstream says of itself."""
+    """Ignore the notices of an upstream."""
 
 
 async def exchange(ends_with_reset: bool, wants_stream: bool):
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -1,4 +1,4 @@
-"""How long keys are accepted while the store is away, or turns single nodes away."""
+"""How long keys are accepted while all nodes, or single nodes, can't reach the store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def _statuses(world) -> dict[str, int]:
-    """Return the answer of each node to a request with a key."""
+    """Return the status of each node's answer to a request with a key."""
     return {name: (await world.call("/order/1", node=name)).status for name in world.nodes}
 
 
@@ -61,7 +61,7 @@
         others = [name for name in world.nodes if name != coordinator]
         for name in [coordinator, *others][:blocked_count]:
             block_store_access(world.nodes[name])
-        # A wait that was under way may still be answered.
+        # A store call that was in flight may still be answered.
         await asyncio.sleep(1)
         world.store.put(CONFIGURATION, "newest", make_configuration(2, frozenset()))
         await asyncio.sleep(LENIENT.max_key_evidence_age_s + 0.3)
@@ -93,7 +93,7 @@
 def test_replaced_coordinator_does_not_mistake_its_own_cut_off_for_an_outage(
     blocked_count, monkeypatch
 ):
-    """Not even if it never hears who is in its place."""
+    """This holds even if it is never notified of its successor."""
     monkeypatch.setattr(membership, "notify_replaced", _drop_notification)
 
     async def test(world):
@@ -110,4 +110,4 @@
 
 
 async def _drop_notification(*_):
-    """Lose the word of a new coordinator."""
+    """Drop the notification of a new coordinator."""
--- a/mulleinreach/gateway/request/tests/test_leaving_callers.py
+++ b/mulleinreach/gateway/request/tests/test_leaving_callers.py
@@ -1,4 +1,4 @@
-"""Once a caller has left, nothing works for it any more, whatever its request waited for."""
+"""The work for a request is aborted once its caller has left, in whatever state it is."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import API_KEY, CALLER_HOST, LARGE, MODEL_SERVICE
 
-# The users allow half a second from the moment at which the caller has left.
+# Below the required bound of 0.5 s after the caller has left.
 MAX_ABORT_S = 0.4
 
 
 async def assert_aborted_after_leaving(world, pending: asyncio.Task, after_s: float) -> None:
-    """Let a caller leave, and check that nothing goes on for it."""
+    """Cancel a caller's request after a delay; check that all work for it stops."""
     await asyncio.sleep(after_s)
     assert not pending.done()
     pending.cancel()
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -1,4 +1,4 @@
-"""What must not be taken for an upstream's limit, nor for its end."""
+"""Cases in which an upstream's limit must not be set, ended or applied."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_tracker(*upstreams) -> tuple[LimitTracker, ManualClock]:
-    """Return a book whose list has some upstreams, and its clock."""
+    """Return a limit tracker that has some upstreams listed, and its clock."""
     clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, list(upstreams), clock.now())
     return LimitTracker(directory, clock, NullLog()), clock
@@ -104,7 +104,7 @@
 
 
 def test_refusal_without_a_limit_ends_no_limit():
-    """An upstream that is full may turn a request away without saying more."""
+    """A full upstream may refuse a request without naming a limit."""
 
     async def test(world):
         limited = ScriptedUpstream(limit_headers(1.1))
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -1,4 +1,4 @@
-"""What must not be taken for an upstream that wants rest, or that leaves."""
+"""Answers that must not count as a notice of an upstream that rests or leaves."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 FIRST = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
 RESTARTED = make_upstream(incarnation_id("desk-0", 2), "desk", 1, None)
-# An upstream that failed a request is avoided for a second, and is drawn soon after it.
+# An upstream that failed a request is avoided for 1 s and gets requests again soon after.
 MAX_AVOIDED_S = 2.0
 
 
 def make_tracker() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
-    """Return a book, its list and its clock."""
+    """Return a notice tracker, its upstream directory and its clock."""
     clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, [FIRST], clock.now())
     return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("status", [200, 429, 500])
 def test_retry_after_of_another_answer_is_no_rest(status):
-    """Too many requests of one organisation, say, are no word on the others'."""
+    """A 429 may concern a single organisation, so it must not exclude the upstream."""
 
     async def test(world):
         arrivals = []
@@ -171,7 +171,7 @@
 
 
 def test_notice_of_an_answer_with_an_unknown_request_id_counts():
-    """Each request has a connection of its own, so whatever comes there is the upstream's."""
+    """Each request has its own connection, so any answer on it comes from that upstream."""
 
     async def test(world):
         arrivals = []
--- a/mulleinreach/gateway/request/tests/test_relay.py
+++ b/mulleinreach/gateway/request/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Requests reach the right upstream at most as often as allowed."""
+"""Requests are forwarded to an upstream, and retried only where that is safe."""
 
 from __future__ import annotations
 
@@ -112,6 +112,3 @@
         assert (await world.call("/public/1", key="x" * 20_000)).status == 431
 
     run_world(test, **NO_HOSTS)
-
-
-# Keys and configurations.
--- a/mulleinreach/gateway/request/tests/test_request_lines.py
+++ b/mulleinreach/gateway/request/tests/test_request_lines.py
@@ -1,4 +1,4 @@
-"""The lines about a request tell its longest pause, and why it counted as late."""
+"""Log events of a request: its longest pause, why it was late, notices, limits and permits."""
 
 from __future__ import annotations
 
--- a/mulleinreach/gateway/request/tests/test_shortage.py
+++ b/mulleinreach/gateway/request/tests/test_shortage.py
@@ -1,4 +1,4 @@
-"""The log and the metrics tell why a request found no upstream, and what a hall still got."""
+"""Logs say why a request found no upstream; metrics count sends to an evacuated hall."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _record_lines(world) -> list[str]:
-    """Return the lines that the first node logs from now on, as they are written."""
+    """Return a list that collects the formatted log lines of the first node."""
     lines = []
 
     def event(name, **fields):
@@ -29,7 +29,7 @@
 
 
 def _shortage_fields(lines: list[str], request: int) -> dict[str, str]:
-    """Return the one line about a request that tells why it found no upstream."""
+    """Return the fields of a request's ``no_upstream`` event."""
     explained = [parse_line(line) for line in explain_request(lines, f"request-{request}")]
     (shortage,) = [line.fields for line in explained if line.event == "no_upstream"]
     return shortage
--- a/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
+++ b/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
@@ -1,7 +1,4 @@
-"""Sound requests whose replicas end are served when they come again.
-
-They are beside a request that ends its replicas, or at replicas that end for another reason.
-"""
+"""Requests that don't crash replicas are still served after their replicas have crashed."""
 
 from __future__ import annotations
 
@@ -41,7 +38,7 @@
 
 @pytest.mark.parametrize("gap_s", [0.0, 0.15, 0.4])
 def test_loss_of_a_hall_holds_no_request(gap_s):
-    """Replicas of a hall end one soon after the other, under many requests that are sound."""
+    """Replicas of a hall crash in quick succession while they run many unrelated requests."""
 
     async def test(world):
         await world.until_formed()
@@ -58,7 +55,7 @@
                     await asyncio.sleep(gap_s)
             await asyncio.sleep(0.2)
         await asyncio.gather(*pending)
-        # The same come again, and none of them is known as one that ends replicas.
+        # Retries of the same requests are served: none of them is held.
         for number in range(12):
             for name in world.nodes:
                 answer = await world.stream(10 + number, node=name)
@@ -76,7 +73,7 @@
         for number in range(6):
             await world.add_plain(f"desk-{number}", answer_late)
         await world.until_formed()
-        # One ends each second, while many callers ask for few different things.
+        # One upstream crashes each second, while callers repeat a few identical requests.
         for second in range(12):
             pending = [
                 asyncio.create_task(world.call(f"/stock/{number}", node=name))
--- a/mulleinreach/gateway/request/tests/test_starting.py
+++ b/mulleinreach/gateway/request/tests/test_starting.py
@@ -1,4 +1,4 @@
-"""Requests that come while a node has just been started."""
+"""Requests that arrive at a node that has just started."""
 
 from __future__ import annotations
 
--- a/mulleinreach/gateway/request/tests/test_streams.py
+++ b/mulleinreach/gateway/request/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams come whole and in order, also where replicas break."""
+"""Streams arrive complete and in order, also when replicas fail."""
 
 from __future__ import annotations
 
--- a/mulleinreach/gateway/request/tests/test_upstream_limits.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_limits.py
@@ -1,13 +1,7 @@
-"""What an upstream in need takes a second from all nodes together is heeded by all of them.
+"""A rate limit that an upstream names in its answers bounds all nodes together.
 
-Seen: heads of the model service named a limit of one to two requests a second in their
-answers; all nodes together sent them 13 to 19 in four seconds, as many as before. How it came
-about: no node sent less after an answer that named the limit. Cause: the limit was read by
-nobody; and each node alone couldn't have kept it, since it bounds the sum over all nodes, of
-which a node knows its own part. Proof: the sends of each node, which don't change with the line
-that tells the limit.
-
-``test_limits_told_apart.py`` has what must be answered_node apart from it.
+Guards against nodes that ignore the limit, or that each use the whole of it.
+``test_limits_told_apart.py`` has the cases in which no limit applies.
 """
 
 from __future__ import annotations
@@ -30,14 +24,14 @@
 
 EIGHT_NODES = {**NO_HOSTS, "nodes": 8}
 IMMEDIATE_ANSWER_S = 0.05
-# The coordinator of few nodes answers within two of its rounds.
+# Two rounds of the coordinator, the longest that it takes to answer about permits.
 COORDINATOR_ANSWER_S = 0.25
-# What the limit leaves should be used: so much of it, over a time that is long against it.
+# Share of the limit that must be used over a long time.
 MIN_USED_SHARE = 0.7
 
 
 def call_stock(world):
-    """Return how to call the plain service at a node, in a way that may be repeated."""
+    """Return a function that sends a safe request to the plain service through a node."""
     return lambda node: world.call("/stock/1", method="GET", node=node)
 
 
@@ -94,7 +88,7 @@
 
         await request_all_nodes(world, 16.0, 10, send_order)
         assert_limit_kept(limited.arrivals, 1.0, limited.arrivals[0] + 0.5)
-        # Who finds out that permits are short waits for one answer, once a second at most.
+        # At most one request a second waits for the coordinator's answer about permits.
         assert max(refusal_times_s) < COORDINATOR_ANSWER_S
         assert sum(time_s > IMMEDIATE_ANSWER_S for time_s in refusal_times_s) <= 16
 
@@ -116,7 +110,7 @@
 
 
 def test_few_callers_of_many_nodes_are_served_as_far_as_the_limit_goes():
-    """No node has a request often enough to hold a permit when the next one comes."""
+    """Requests at each node are too rare for a permit to be left when the next one arrives."""
 
     async def test(world):
         limited = ScriptedUpstream(limit_headers(2.0))
--- a/mulleinreach/gateway/request/tests/test_upstream_notices.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_notices.py
@@ -1,14 +1,7 @@
-"""What an upstream says of itself in its answers is heeded wherever requests are sent.
+"""Nodes send nothing to an upstream whose answers ask for rest or say that it leaves.
 
-Seen: a head of the model service turned requests away and asked for three seconds of rest;
-the same node sent it three to five requests within that time, and so at a second head and node.
-How it came about: a node avoided an upstream that had failed a request for one second, as a
-preference, whatever the upstream had said; then it came back. Cause: of a refusal only its
-status was kept. Nothing read that an upstream asked for rest, nor that it leaves. Proof: the
-times between the node's sends there, each a little over a second, and the line that tells
-what an answer says of its upstream, which nothing followed.
-
-``test_notices_told_apart.py`` has what must be told apart from it.
+Guards against retries at an upstream during its rest, and against new requests to one that
+leaves. ``test_notices_told_apart.py`` has the answers that are no such notice.
 """
 
 from __future__ import annotations
@@ -34,13 +27,13 @@
 from mulleinreach.standins.gateway.dialect import REQUEST_ID, SIGNATURE
 from mulleinreach.standins.gateway.store import UPSTREAMS
 
-# The operators' bound on how soon an upstream that leaves gets nothing more.
+# An upstream that leaves must get no requests after this time.
 MAX_LEAVING_S = 2.0
 IMMEDIATE_ANSWER_S = 0.05
 
 
 def make_resting_upstream() -> ScriptedUpstream:
-    """Return a plain upstream that turns each request away and asks for rest."""
+    """Return a plain upstream that refuses each request and asks for rest."""
     upstream = ScriptedUpstream(REST_HEADERS)
     upstream.refuses = True
     return upstream
@@ -209,7 +202,7 @@
 
 
 def test_upstream_that_leaves_stays_excluded_when_its_row_lapses_and_returns():
-    """A heartbeat that comes late may write the row of an upstream once more."""
+    """A delayed heartbeat may write the row of an upstream again."""
 
     async def test(world):
         leaving = ScriptedUpstream(LEAVING_HEADERS)
@@ -227,7 +220,7 @@
 
 
 def test_host_whose_probe_answer_says_that_it_leaves_joins_no_group():
-    """The coordinator asks hosts before they join; the row that tells it may never come."""
+    """The coordinator probes hosts before they join; their row may never show that they leave."""
 
     async def test(world):
         await world.until_formed()
@@ -262,7 +255,7 @@
 
 
 def standbys(world, domain):
-    """Return the hosts of a domain that stand in no group, or ready on their own."""
+    """Return the hosts of a domain that are in no group, or in a group of one."""
     return [
         host
         for host in world.fabric.hosts.values()
--- a/mulleinreach/gateway/request/tests/test_urgency.py
+++ b/mulleinreach/gateway/request/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""In which order engines are asked to let requests in."""
+"""Priorities that nodes give to late, new and moved requests."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 async def send_with_deadlines(world, deadlines_s):
-    """Let a node see how long callers wait that ask for the first time; all are in time."""
+    """Send a stream request with each deadline; all are answered in time."""
     for deadline_s in deadlines_s:
         await world.stream(1, deadline_s=deadline_s)
 
 
 def spread_waits(longest_s: float, spread: float, count: int = 60) -> list[float]:
-    """Return waits spread evenly over a part of the longest one, in no order."""
+    """Return shuffled waits spread evenly between ``longest_s`` and a fraction ``spread`` less."""
     waits = [longest_s * (1 - spread * number / count) for number in range(count)]
     return random.Random(1).sample(waits, count)
 
