--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -23,7 +23,7 @@
 NO_HOSTS = {"nodes": 1, "domains": 0}
 
 
-def _most_in_window(times: list[float], window_s: float) -> int:
+def max_count_in_window(times: list[float], window_s: float) -> int:
     return max((sum(t <= other < t + window_s for other in times) for t in times), default=0)
 
 
@@ -41,8 +41,8 @@
                 second_sends_at.append(clock.now())
             await asyncio.sleep(0.01)
         in_window = len(requests_at) * bounds.retry_window_s / clock.now()
-        most = _most_in_window(second_sends_at, bounds.retry_window_s)
-        assert 0 < most <= bounds.retry_ratio * in_window + bounds.retry_slack
+        max_count = max_count_in_window(second_sends_at, bounds.retry_window_s)
+        assert 0 < max_count <= bounds.retry_ratio * in_window + bounds.retry_slack
 
     run_virtual(test())
 
@@ -107,8 +107,8 @@
                 started_at.append(clock.now())
                 asyncio.get_running_loop().call_later(0.3, limiter.end)
             await asyncio.sleep(0.01)
-        most = _most_in_window(started_at, RATE_WINDOW_S)
-        assert 0 < most <= PROFILE.loads_per_s * RATE_WINDOW_S * RATE_TOLERANCE
+        max_count = max_count_in_window(started_at, RATE_WINDOW_S)
+        assert 0 < max_count <= PROFILE.loads_per_s * RATE_WINDOW_S * RATE_TOLERANCE
 
     run_virtual(test())
 
@@ -139,7 +139,7 @@
         route = next(r for r in make_configuration().routes if r.name == "stream")
         runs = world.fabric.checks.runs.values()
         assert any(breaking.id in ran_at and len(ran_at) > 1 for ran_at in runs)
-        kept = [[host for host in ran_at if host != breaking.id] for ran_at in runs]
-        assert max(map(len, kept)) <= route.max_attempts
+        runs_elsewhere = [[host for host in ran_at if host != breaking.id] for ran_at in runs]
+        assert max(map(len, runs_elsewhere)) <= route.max_attempts
 
     run_world(test, nodes=1, domains=4)
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -28,7 +28,7 @@
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID
 from mulleinreach.standins.gateway.hosts import make_upstream
 
-FIRST = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
+ORIGINAL = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
 RESTARTED = incarnation_id("desk-0", 2)
 
 
@@ -40,66 +40,66 @@
 
 
 def test_upstream_restarted_later_has_no_limit():
-    tracker, _ = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, 1.5)
-    assert tracker.is_limited(FIRST.id)
+    tracker, _ = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
+    assert tracker.is_limited(ORIGINAL.id)
     assert not tracker.is_limited(RESTARTED)
 
 
 def test_first_answer_without_a_limit_is_not_reported():
-    tracker, _ = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, math.inf)
+    tracker, _ = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, math.inf)
     assert not tracker.has_any
     assert tracker.unpublished(includes_published=True) == ()
 
 
 def test_earlier_report_that_comes_late_is_ignored():
-    tracker, clock = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, 1.5)
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     clock.at += 1
-    tracker.record_answer(FIRST.id, math.inf)
-    tracker.merge_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
-    tracker.merge_published([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
-    assert not tracker.is_limited(FIRST.id)
+    tracker.record_answer(ORIGINAL.id, math.inf)
+    tracker.merge_reported([NamedLimit(ORIGINAL.id, 1.5, 0.5)])
+    tracker.merge_published([NamedLimit(ORIGINAL.id, 1.5, 0.2)], clock.now() - 0.5)
+    assert not tracker.is_limited(ORIGINAL.id)
 
 
 def test_later_report_of_another_node_changes_or_ends_the_limit():
-    tracker, clock = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, 1.5)
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     clock.at += 1
-    tracker.merge_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
-    assert tracker.limit_per_s(FIRST.id) == 4.0
-    tracker.merge_reported([NamedLimit(FIRST.id, math.inf, 0.1)])
-    assert not tracker.is_limited(FIRST.id)
+    tracker.merge_reported([NamedLimit(ORIGINAL.id, 4.0, 0.5)])
+    assert tracker.limit_per_s(ORIGINAL.id) == 4.0
+    tracker.merge_reported([NamedLimit(ORIGINAL.id, math.inf, 0.1)])
+    assert not tracker.is_limited(ORIGINAL.id)
 
 
 def test_ended_limit_is_published_for_a_while_and_then_forgotten():
-    tracker, clock = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, 1.5)
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     clock.at += 1
-    tracker.record_answer(FIRST.id, math.inf)
+    tracker.record_answer(ORIGINAL.id, math.inf)
     assert [limit.per_s for limit in tracker.known_limits()] == [math.inf]
     clock.at += ENDED_LIMIT_KEPT_S
     assert tracker.known_limits() == ()
 
 
 def test_only_limits_of_unlisted_upstreams_are_forgotten():
-    tracker, clock = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, 1.5)
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     tracker.record_answer("another", 2.0)
     clock.at += UNLISTED_LIMIT_KEPT_S
-    assert tracker.limits() == {FIRST.id: 1.5}
+    assert tracker.limits() == {ORIGINAL.id: 1.5}
 
 
 def test_only_unpublished_limits_are_reported_to_the_coordinator():
-    tracker, clock = make_tracker(FIRST)
-    tracker.record_answer(FIRST.id, 1.5)
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     assert [limit.per_s for limit in tracker.unpublished(includes_published=False)] == [1.5]
-    tracker.merge_published([NamedLimit(FIRST.id, 1.5)], clock.now())
+    tracker.merge_published([NamedLimit(ORIGINAL.id, 1.5)], clock.now())
     assert tracker.unpublished(includes_published=False) == ()
     assert len(tracker.unpublished(includes_published=True)) == 1
     clock.at += 1
-    tracker.record_answer(FIRST.id, 2.5)
+    tracker.record_answer(ORIGINAL.id, 2.5)
     assert [limit.per_s for limit in tracker.unpublished(includes_published=False)] == [2.5]
 
 
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -25,7 +25,7 @@
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID, RETRY_AFTER
 from mulleinreach.standins.gateway.hosts import make_upstream
 
-FIRST = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
+ORIGINAL = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
 RESTARTED = make_upstream(incarnation_id("desk-0", 2), "desk", 1, None)
 # An upstream that failed a request is avoided for 1 s and gets requests again soon after.
 MAX_AVOIDED_S = 2.0
@@ -34,32 +34,32 @@
 def make_tracker() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
     """Return a notice tracker, its upstream directory and its clock."""
     clock, directory = ManualClock(), UpstreamDirectory()
-    directory.replace_all(1, [FIRST], clock.now())
+    directory.replace_all(1, [ORIGINAL], clock.now())
     return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
 
 
 def test_later_shorter_rest_does_not_end_a_longer_one():
     tracker, _, clock = make_tracker()
-    tracker.record(FIRST, Notice(rest_s=3.0))
+    tracker.record(ORIGINAL, Notice(rest_s=3.0))
     clock.at += 1
-    tracker.record(FIRST, Notice(rest_s=0.5))
-    assert tracker.rest(FIRST.id).remaining_s == 2.0
+    tracker.record(ORIGINAL, Notice(rest_s=0.5))
+    assert tracker.rest(ORIGINAL.id).remaining_s == 2.0
 
 
 def test_later_longer_rest_replaces_a_shorter_one():
     tracker, _, clock = make_tracker()
-    tracker.record(FIRST, Notice(rest_s=1.0))
+    tracker.record(ORIGINAL, Notice(rest_s=1.0))
     clock.at += 0.5
-    tracker.record(FIRST, Notice(rest_s=3.0))
-    assert tracker.rest(FIRST.id).remaining_s == 3.0
+    tracker.record(ORIGINAL, Notice(rest_s=3.0))
+    assert tracker.rest(ORIGINAL.id).remaining_s == 3.0
     clock.at += 3.0
-    assert tracker.rest(FIRST.id) is None
+    assert tracker.rest(ORIGINAL.id) is None
     assert tracker.resting() == []
 
 
 def test_restarted_upstream_neither_rests_nor_leaves():
     tracker, directory, clock = make_tracker()
-    tracker.record(FIRST, Notice(is_leaving=True, rest_s=3.0))
+    tracker.record(ORIGINAL, Notice(is_leaving=True, rest_s=3.0))
     directory.apply(ListChange(2, [RESTARTED], []), clock.now())
     assert tracker.rest(RESTARTED.id) is None
     assert directory.get(RESTARTED.id).state is UpstreamState.READY
@@ -67,11 +67,11 @@
 
 def test_ready_row_does_not_refute_a_leaving_notice():
     tracker, directory, clock = make_tracker()
-    tracker.record(FIRST, Notice(is_leaving=True))
-    for change in (ListChange(2, [FIRST], []), ListChange(3, [], ["desk-0"])):
+    tracker.record(ORIGINAL, Notice(is_leaving=True))
+    for change in (ListChange(2, [ORIGINAL], []), ListChange(3, [], ["desk-0"])):
         directory.apply(change, clock.now())
-    directory.replace_all(4, [FIRST], clock.now())
-    assert directory.get(FIRST.id).state is UpstreamState.DRAINING
+    directory.replace_all(4, [ORIGINAL], clock.now())
+    assert directory.get(ORIGINAL.id).state is UpstreamState.DRAINING
 
 
 def test_refusal_without_a_rest_excludes_its_upstream_only_briefly():
@@ -121,13 +121,13 @@
 
 def test_rest_asked_of_one_node_excludes_no_other_node():
     async def test(world):
-        desk = ScriptedUpstream(REST_HEADERS)
-        desk.refuses = True
-        await world.add_plain("desk-0", desk)
+        refusing = ScriptedUpstream(REST_HEADERS)
+        refusing.refuses = True
+        await world.add_plain("desk-0", refusing)
         await world.until(lambda: all(len(n.directory) for n in world.nodes.values()))
         await world.until(lambda: all(n.is_ready() for n in world.nodes.values()))
         assert (await world.call("/order/1", node="node-0")).status == 503
-        desk.refuses = False
+        refusing.refuses = False
         await asyncio.sleep(1.0)
         assert (await world.call("/order/1", node="node-0")).status == 503
         assert (await world.call("/order/1", node="node-1")).status == 200
--- a/mulleinreach/gateway/request/tests/test_upstream_notices.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_notices.py
@@ -95,8 +95,8 @@
         answer = await world.call("/order/1")
         assert answer.status == 503
         assert world.clock.now() - sent_at < IMMEDIATE_ANSWER_S
-        back_at = world.clock.now() + float(answer.headers["Retry-After"])
-        assert back_at >= asked_at + REST_S
+        retry_at = world.clock.now() + float(answer.headers["Retry-After"])
+        assert retry_at >= asked_at + REST_S
         assert all(
             count_during_rest(resting.arrivals, resting.arrivals[0]) == 0
             for resting in resting_upstreams
