--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -100,14 +100,14 @@
     async def test():
         clock = VirtualClock()
         limiter = WeightLoadLimiter(clock)
-        started_at = []
+        loads_started_at = []
         for _ in range(4000):
             if limiter.may_begin(PROFILE):
                 limiter.begin()
-                started_at.append(clock.now())
+                loads_started_at.append(clock.now())
                 asyncio.get_running_loop().call_later(0.3, limiter.end)
             await asyncio.sleep(0.01)
-        max_count = max_count_in_window(started_at, RATE_WINDOW_S)
+        max_count = max_count_in_window(loads_started_at, RATE_WINDOW_S)
         assert 0 < max_count <= PROFILE.loads_per_s * RATE_WINDOW_S * RATE_TOLERANCE
 
     run_virtual(test())
