--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -11,7 +11,7 @@
 from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.fleet.loads import RATE_WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
-from mulleinreach.gateway.request.sending import EXTRA_RESUMES
+from mulleinreach.gateway.request.sending import MAX_EXTRA_RESUMES
 from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import DEADLINE_MS, REQUEST_ID, SIGNATURE
@@ -67,7 +67,7 @@
         await world.stream(30)
         route = next(r for r in make_configuration().routes if r.name == "stream")
         (runs,) = world.fabric.checks.runs.values()
-        assert 1 < len(runs) <= route.max_attempts + EXTRA_RESUMES
+        assert 1 < len(runs) <= route.max_attempts + MAX_EXTRA_RESUMES
 
     run_world(test, domains=6)
 
--- a/mulleinreach/gateway/request/tests/test_crowded_heads.py
+++ b/mulleinreach/gateway/request/tests/test_crowded_heads.py
@@ -10,7 +10,7 @@
 from mulleinreach.common import VirtualClock
 from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 from mulleinreach.gateway.known.routing import QUEUED_PENALTY_MS
-from mulleinreach.gateway.request.urgency import HIGHEST_PRIORITY, LATE_PRIORITY, WAIT_SHARE
+from mulleinreach.gateway.request.urgency import HIGHEST_PRIORITY, LATE_PRIORITY, MAX_QUEUE_FRACTION
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, PROFILE, make_configuration
 from mulleinreach.standins.virtual import run_virtual
@@ -18,7 +18,7 @@
 USUAL_PRIORITY = HIGHEST_PRIORITY + 1
 OBJECTIVE_S = make_configuration().routes[0].objective_s
 # Requests that can queue at a head and still meet the objective.
-MAX_WAITING = round(WAIT_SHARE * OBJECTIVE_S * 1000 / QUEUED_PENALTY_MS)
+MAX_WAITING = round(MAX_QUEUE_FRACTION * OBJECTIVE_S * 1000 / QUEUED_PENALTY_MS)
 EVENT_COUNT = 40
 
 
--- a/mulleinreach/gateway/request/tests/test_leaving_callers.py
+++ b/mulleinreach/gateway/request/tests/test_leaving_callers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
+from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.tests.desk import NO_HOSTS, start_plain_upstreams
 from mulleinreach.gateway.tests.limited import limit_headers
 from mulleinreach.gateway.tests.noticed import ScriptedUpstream
@@ -70,7 +70,7 @@
 def test_caller_leaves_while_its_late_request_waits():
     async def test(world):
         await world.until_formed()
-        for _ in range(ENOUGH_SEEN):
+        for _ in range(MIN_WAITS):
             await world.stream(1, deadline_s=8.0)
         _slow_hosts(world)
         others = [asyncio.create_task(world.stream(5)) for _ in range(60)]
--- a/mulleinreach/gateway/request/tests/test_request_lines.py
+++ b/mulleinreach/gateway/request/tests/test_request_lines.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
+from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.tests.desk import NO_HOSTS, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.noticed import ScriptedUpstream, request_repeatedly
@@ -40,7 +40,7 @@
 def test_late_request_logs_the_waits_that_made_it_late():
     async def test(world):
         await world.until_formed()
-        for _ in range(ENOUGH_SEEN):
+        for _ in range(MIN_WAITS):
             await world.stream(1, deadline_s=8.0)
         events = record_events(world.nodes["node-0"])
         await world.stream(1, deadline_s=8.0)
--- a/mulleinreach/gateway/request/tests/test_urgency.py
+++ b/mulleinreach/gateway/request/tests/test_urgency.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN, LATE_PRIORITY, WAITS_KEPT, FirstWaits
+from mulleinreach.gateway.request.urgency import (
+    LATE_PRIORITY,
+    MAX_WAITS_PER_ROUTE,
+    MIN_WAITS,
+    FirstWaitEstimator,
+)
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import (
     LARGE,
@@ -35,11 +40,11 @@
 def test_late_retry_gets_the_late_priority():
     async def test(world):
         await world.until_formed()
-        await send_with_deadlines(world, [8.0] * ENOUGH_SEEN)
+        await send_with_deadlines(world, [8.0] * MIN_WAITS)
         await world.stream(1, deadline_s=7.8)
         await world.stream(1, deadline_s=6.0)
         seen = list(world.fabric.checks.priorities.values())
-        assert seen == [["2"]] * (ENOUGH_SEEN + 1) + [[str(LATE_PRIORITY)]]
+        assert seen == [["2"]] * (MIN_WAITS + 1) + [[str(LATE_PRIORITY)]]
 
     run_world(test, nodes=1)
 
@@ -68,7 +73,7 @@
 
 
 def test_late_callers_are_distinguished_from_short_deadlines():
-    waits = FirstWaits()
+    waits = FirstWaitEstimator()
     for wait_s in spread_waits(8.0, 0.15):
         waits.note(STREAM, wait_s, IN_TIME_S)
     assert not waits.is_late(STREAM, 8.0 * 0.85)
@@ -76,16 +81,16 @@
 
 
 def test_late_answers_do_not_change_the_first_wait():
-    waits = FirstWaits()
-    for _ in range(ENOUGH_SEEN):
+    waits = FirstWaitEstimator()
+    for _ in range(MIN_WAITS):
         waits.note(STREAM, 8.0, IN_TIME_S)
-    for _ in range(WAITS_KEPT):
+    for _ in range(MAX_WAITS_PER_ROUTE):
         waits.note(STREAM, 5.0, STREAM.objective_s + 0.1)
     assert waits.is_late(STREAM, 5.0)
 
 
 def test_retries_during_an_outage_still_count_as_late():
-    waits = FirstWaits()
+    waits = FirstWaitEstimator()
     for wait_s in [8.0] * 190 + [5.0] * 9:
         waits.note(STREAM, wait_s, IN_TIME_S)
     assert waits.is_late(STREAM, 5.0)
@@ -107,18 +112,18 @@
 
 
 def test_first_wait_adapts_to_recent_requests():
-    waits = FirstWaits()
-    for _ in range(WAITS_KEPT):
+    waits = FirstWaitEstimator()
+    for _ in range(MAX_WAITS_PER_ROUTE):
         waits.note(STREAM, 60.0, IN_TIME_S)
-    for _ in range(WAITS_KEPT // 10):
+    for _ in range(MAX_WAITS_PER_ROUTE // 10):
         waits.note(STREAM, 6.0, IN_TIME_S)
     assert not waits.is_late(STREAM, 6.0)
     assert waits.is_late(STREAM, 5.0)
 
 
 def test_no_request_is_late_until_enough_were_seen():
-    waits = FirstWaits()
-    for _ in range(ENOUGH_SEEN - 1):
+    waits = FirstWaitEstimator()
+    for _ in range(MIN_WAITS - 1):
         waits.note(STREAM, STREAM.timeout_s, IN_TIME_S)
     assert not waits.is_late(STREAM, 1.0)
     waits.note(STREAM, STREAM.timeout_s, IN_TIME_S)
@@ -129,7 +134,7 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
-        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
+        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(MIN_WAITS)))
         late = [asyncio.create_task(world.stream(40, deadline_s=6.0)) for _ in range(60)]
         await asyncio.sleep(0.5)
         node = world.nodes["node-0"]
@@ -148,7 +153,7 @@
     async def test(world):
         await world.until_formed()
         for name in world.nodes:
-            for _ in range(ENOUGH_SEEN):
+            for _ in range(MIN_WAITS):
                 await world.stream(1, deadline_s=8.0, node=name)
         await asyncio.sleep(2)
         for name in list(world.nodes):
