--- a/mulleinreach/gateway/request/tests/test_upstream_limits.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_limits.py
@@ -24,7 +24,7 @@
 
 EIGHT_NODES = {**NO_HOSTS, "nodes": 8}
 IMMEDIATE_ANSWER_S = 0.05
-# Two rounds of the coordinator, the longest that it takes to answer about permits.
+# The coordinator answers a request for permits within two of its rounds.
 COORDINATOR_ANSWER_S = 0.25
 # Share of the limit that must be used over a long time.
 MIN_USED_SHARE = 0.7
