--- a/mulleinreach/platform/rows.py
+++ b/mulleinreach/platform/rows.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from mulleinreach.common.checked import CheckError, Count, Name, Number, check, parse_address
+from mulleinreach.common.checked import CheckError, Count, Name, Number, parse_address, validate
 from mulleinreach.gateway.upstream import (
     Membership,
     MemberState,
@@ -104,7 +104,7 @@
     """
     if not _ROW_KEY.fullmatch(name):
         raise CheckError("key: not a name")
-    row = check(_Row, raw)
+    row = validate(_Row, raw)
     return Upstream(
         id=incarnation_id(name, row.born),
         service=row.service,
@@ -125,7 +125,7 @@
 
     The process that answers may be a later start of the one that was asked.
     """
-    report = check(_Report, raw)
+    report = validate(_Report, raw)
     start = start_time_ms(known.id)
     if start is not None and report.born not in (None, start):
         raise CheckError(f"{upstream_name(known.id)} has started again")
--- a/mulleinreach/platform/tests/test_settings.py
+++ b/mulleinreach/platform/tests/test_settings.py
@@ -74,7 +74,7 @@
     assert settings.identity.regions == {"a": "north", "b": "south"}
 
 
-def test_deployment_without_optional_fields_has_the_usual_bounds():
+def test_deployment_without_optional_fields_has_default_bounds():
     settings = make_settings(parse_lines(COMPLETE))
     bounds, usual = settings.bounds, DeploymentBounds()
     assert bounds.evacuation_s == usual.evacuation_s
