--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -1,4 +1,4 @@
-"""What must not be taken for an upstream that wants rest, or that leaves."""
+"""Answers that must not count as a notice of an upstream that rests or leaves."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 ORIGINAL = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
 RESTARTED = make_upstream(incarnation_id("desk-0", 2), "desk", 1, None)
-# An upstream that failed a request is avoided for a second, and is drawn soon after it.
+# An upstream that failed a request is avoided for 1 s and gets requests again soon after.
 MAX_AVOIDED_S = 2.0
 
 
 def make_tracker() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
-    """Return a book, its list and its clock."""
+    """Return a notice tracker, its upstream directory and its clock."""
     clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, [ORIGINAL], clock.now())
     return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("status", [200, 429, 500])
 def test_retry_after_of_another_answer_is_no_rest(status):
-    """Too many requests of one organisation, say, are no word on the others'."""
+    """A 429 may concern a single organisation, so it must not exclude the upstream."""
 
     async def test(world):
         arrivals = []
@@ -121,13 +121,13 @@
 
 def test_rest_asked_of_one_node_excludes_no_other_node():
     async def test(world):
-        desk = ScriptedUpstream(REST_HEADERS)
-        desk.refuses = True
-        await world.add_plain("desk-0", desk)
+        refusing = ScriptedUpstream(REST_HEADERS)
+        refusing.refuses = True
+        await world.add_plain("desk-0", refusing)
         await world.until(lambda: all(len(n.directory) for n in world.nodes.values()))
         await world.until(lambda: all(n.is_ready() for n in world.nodes.values()))
         assert (await world.call("/order/1", node="node-0")).status == 503
-        desk.refuses = False
+        refusing.refuses = False
         await asyncio.sleep(1.0)
         assert (await world.call("/order/1", node="node-0")).status == 503
         assert (await world.call("/order/1", node="node-1")).status == 200
@@ -171,7 +171,7 @@
 
 
 def test_notice_of_an_answer_with_an_unknown_request_id_counts():
-    """Each request has a connection of its own, so whatever comes there is the upstream's."""
+    """Each request has its own connection, so any answer on it comes from that upstream."""
 
     async def test(world):
         arrivals = []
--- a/mulleinreach/gateway/request/tests/test_request_lines.py
+++ b/mulleinreach/gateway/request/tests/test_request_lines.py
@@ -1,4 +1,4 @@
-"""The lines about a request tell its longest pause, and why it counted as late."""
+"""Log events of a request: its longest pause, why it was late, notices, limits and permits."""
 
 from __future__ import annotations
 
@@ -72,11 +72,11 @@
 
 def test_named_limit_is_logged_when_it_changes():
     async def test(world):
-        desk = ScriptedUpstream({LIMIT: "1.5"})
-        await start_plain_upstreams(world, desk)
+        limited = ScriptedUpstream({LIMIT: "1.5"})
+        await start_plain_upstreams(world, limited)
         events = record_events(world.nodes["node-0"])
         await request_repeatedly(3.0, lambda: world.call("/order/1"))
-        desk.headers = {}
+        limited.headers = {}
         await request_repeatedly(3.0, lambda: world.call("/order/1"))
         assert [line["per_s"] for line in event_fields(events, "upstream_limit")] == [1.5, math.inf]
 
