--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -161,8 +161,8 @@
         "LIMIT",
         "a refusal without a limit ends none",
         "mulleinreach/platform/dialect.py",
-        "tells_limit = REQUEST_ID in headers and not self.was_refused(status, headers)",
-        "tells_limit = True",
+        "absent_means_unlimited = REQUEST_ID in headers and not self.was_refused(status, headers)",
+        "absent_means_unlimited = True",
         "mulleinreach/platform/tests/test_notices.py",
     ),
     Breakage(
--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -46,11 +46,11 @@
         is_public=bool(raw.get("public", False)),
         is_resumable=bool(raw.get("resumable", False)),
         gap_objective_s=float(raw.get("gap_target_ms", 1000)) / 1000,
-        allowed_regions=_parse_homes(raw),
+        allowed_regions=_parse_allowed_regions(raw),
     )
 
 
-def _parse_homes(raw: dict) -> frozenset[str] | None:
+def _parse_allowed_regions(raw: dict) -> frozenset[str] | None:
     """Return the regions that a route or an organisation is bound to."""
     regions = raw.get("allowed_regions")
     return frozenset(str(region) for region in regions) if regions else None
@@ -94,12 +94,13 @@
 
 
 def _parse_limits(raw: dict) -> RequestLimits:
-    usual = RequestLimits()
+    default = RequestLimits()
     return RequestLimits(
-        header_bytes=int(raw.get("max_header_bytes", usual.header_bytes)),
-        body_bytes=int(raw.get("max_body_bytes", usual.body_bytes)),
-        header_timeout_s=float(raw.get("header_timeout_ms", usual.header_timeout_s * 1000)) / 1000,
-        idle_timeout_s=float(raw.get("idle_timeout_ms", usual.idle_timeout_s * 1000)) / 1000,
+        header_bytes=int(raw.get("max_header_bytes", default.header_bytes)),
+        body_bytes=int(raw.get("max_body_bytes", default.body_bytes)),
+        header_timeout_s=float(raw.get("header_timeout_ms", default.header_timeout_s * 1000))
+        / 1000,
+        idle_timeout_s=float(raw.get("idle_timeout_ms", default.idle_timeout_s * 1000)) / 1000,
     )
 
 
@@ -109,5 +110,5 @@
         name=str(raw["name"]),
         api_keys=frozenset(str(key) for key in raw.get("api_keys", [])),
         priority=None if priority is None else int(priority),
-        allowed_regions=_parse_homes(raw),
+        allowed_regions=_parse_allowed_regions(raw),
     )
--- a/mulleinreach/platform/dialect.py
+++ b/mulleinreach/platform/dialect.py
@@ -22,7 +22,7 @@
 SIGNATURE = "X-Mulleinreach-Server-Signature"
 NOT_EXECUTED = "X-Mulleinreach-Not-Executed"
 LAST_EVENT_ID = "Last-Event-Id"
-_SET_BY_THE_SYSTEM = (DEADLINE_MS, TENANT, PRIORITY, EXPECT_INSTANCE, "Authorization")
+_GATEWAY_HEADERS = (DEADLINE_MS, TENANT, PRIORITY, EXPECT_INSTANCE, "Authorization")
 
 
 class PlatformDialect:
@@ -65,7 +65,7 @@
     ) -> CIMultiDict[str]:
         """Return the headers of the request to a replica."""
         forwarded = CIMultiDict(headers)
-        for name in _SET_BY_THE_SYSTEM:
+        for name in _GATEWAY_HEADERS:
             forwarded.popall(name, None)
         forwarded[DEADLINE_MS] = str(max(1, int(remaining_s * 1000)))
         forwarded[EXPECT_INSTANCE] = upstream_name(upstream_id)
@@ -86,8 +86,8 @@
 
         Only an answer to a request that was run shows by its silence that a limit has ended.
         """
-        tells_limit = REQUEST_ID in headers and not self.was_refused(status, headers)
-        return read_notice(status, headers, math.inf if tells_limit else None)
+        absent_means_unlimited = REQUEST_ID in headers and not self.was_refused(status, headers)
+        return read_notice(status, headers, math.inf if absent_means_unlimited else None)
 
     def belongs_to(self, headers: CIMultiDictProxy[str], request_id: str | None) -> bool:
         """Whether an answer echoes the request's id."""
--- a/mulleinreach/platform/early.py
+++ b/mulleinreach/platform/early.py
@@ -15,7 +15,7 @@
 import socket
 
 SETTINGS_VARIABLE = "MULLEINREACH_NODE_FILE"
-CALLERS_FIELD = "listen.front"
+LISTEN_ADDRESS_FIELD = "listen.front"
 BACKLOG = 512
 
 
@@ -24,7 +24,7 @@
     try:
         with open(settings_path, encoding="utf-8") as file:
             fields = dict(line.strip().split("=", 1) for line in file if "=" in line)
-        host, _, port = fields[CALLERS_FIELD].rpartition(":")
+        host, _, port = fields[LISTEN_ADDRESS_FIELD].rpartition(":")
         return _listen(host, int(port))
     except (OSError, KeyError, ValueError, OverflowError):
         return None
--- a/mulleinreach/platform/notices.py
+++ b/mulleinreach/platform/notices.py
@@ -37,11 +37,11 @@
     Notice(is_leaving=False, rest_s=0.0, limit_per_s=1.5)
     """
     asks_for_rest = status == HTTPStatus.SERVICE_UNAVAILABLE
-    is_its_word = status != HTTPStatus.MISDIRECTED_REQUEST
+    is_from_replica = status != HTTPStatus.MISDIRECTED_REQUEST
     return Notice(
         is_leaving=headers.get(LEAVING) == "1",
         rest_s=retry_after_s(headers.get(RETRY_AFTER)) if asks_for_rest else 0.0,
-        limit_per_s=_limit_per_s(headers, default_limit_per_s) if is_its_word else None,
+        limit_per_s=_limit_per_s(headers, default_limit_per_s) if is_from_replica else None,
     )
 
 
--- a/mulleinreach/platform/process.py
+++ b/mulleinreach/platform/process.py
@@ -35,13 +35,13 @@
     )
 
 
-def run(settings_path: str, callers: socket.socket | None) -> None:
+def run(settings_path: str, listener: socket.socket | None) -> None:
     """Read the settings and run the node.
 
     Parameters
     ==========
 
-    callers : listens on the callers' address already; ``None`` if nothing does.
+    listener : listens on the callers' address already; ``None`` if nothing does.
     """
     try:
         settings = read_settings(settings_path)
@@ -49,5 +49,5 @@
         print(f"{SETTINGS_VARIABLE}: {error}", file=sys.stderr)
         raise SystemExit(EXIT_BAD_SETTINGS) from error
     run_process(
-        settings.identity, settings.bounds, lambda network: make_ports(settings, network), callers
+        settings.identity, settings.bounds, lambda network: make_ports(settings, network), listener
     )
--- a/mulleinreach/platform/rows.py
+++ b/mulleinreach/platform/rows.py
@@ -28,12 +28,12 @@
 )
 
 # Without the mark that stands before the start in an upstream's id.
-_KEY = re.compile(r"[!-?A-~]{1,200}")
+_ROW_KEY = re.compile(r"[!-?A-~]{1,200}")
 # A host is cold for seconds; a day bounds what another writer may claim.
 _ColdMs = Annotated[float, Meta(ge=0, le=86_400_000)]
 
 
-class _Named(msgspec.Struct):
+class _NamedModel(msgspec.Struct):
     name: Name
 
 
@@ -48,7 +48,7 @@
         return Membership(self.name, self.epoch, self.rank, self.state)
 
 
-class _OfItself(msgspec.Struct, kw_only=True):
+class _ReplicaState(msgspec.Struct, kw_only=True):
     """What a replica says of itself wherever it does.
 
     Parameters
@@ -60,8 +60,8 @@
     """
 
     born: Number | None = None
-    models: list[_Named] | None = None
-    staged: list[Name | _Named] | None = None
+    models: list[_NamedModel] | None = None
+    staged: list[Name | _NamedModel] | None = None
     group: _Group | None = None
 
     def model_names(self) -> tuple[str, ...]:
@@ -77,7 +77,7 @@
         return self.group and self.group.membership()
 
 
-class _Row(_OfItself, kw_only=True):
+class _Row(_ReplicaState, kw_only=True):
     service: Name
     address: str
     zone: Name
@@ -90,7 +90,7 @@
     domain: Name | None = None
 
 
-class _Report(_OfItself, kw_only=True):
+class _Report(_ReplicaState, kw_only=True):
     pace: Annotated[float, Meta(gt=0, le=1000)] = 1.0
 
 
@@ -102,7 +102,7 @@
 
     name : the row's key.
     """
-    if not _KEY.fullmatch(name):
+    if not _ROW_KEY.fullmatch(name):
         raise CheckError("key: not a name")
     row = check(_Row, raw)
     return Upstream(
--- a/mulleinreach/platform/settings.py
+++ b/mulleinreach/platform/settings.py
@@ -10,7 +10,7 @@
 
 METRICS_PORT_OFFSET = 1
 # The bounds on keys count from the acknowledgement; the rest covers the way.
-KEY_EVIDENCE_SHARE = 0.9
+KEY_EVIDENCE_BOUND_RATIO = 0.9
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,7 @@
         regions=reader.entries("zones."),
     )
     bounds = DeploymentBounds(
-        max_key_evidence_age_s=KEY_EVIDENCE_SHARE * _key_bound_s(reader),
+        max_key_evidence_age_s=KEY_EVIDENCE_BOUND_RATIO * _key_revocation_bound_s(reader),
         trusts_keys_in_outages=not reader.flag("bounds.strict_revoke"),
         config_propagation_s=reader.seconds("bounds.config_ms"),
         leaving_propagation_s=reader.seconds("bounds.drain_ms"),
@@ -91,7 +91,7 @@
     )
 
 
-def _key_bound_s(reader: FieldReader) -> float:
+def _key_revocation_bound_s(reader: FieldReader) -> float:
     """Return how long after it was taken away a key may still be accepted.
 
     ``strict_revoke`` binds every node within ``revoke_ms``. Where it is false, keys are
--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -34,14 +34,14 @@
 WRITE_TIMEOUT_S = 0.6
 # What a wait for changes may take beyond the time for which the store was asked to wait. The
 # longest wait of two seconds then ends while nodes still may send to an upstream that leaves.
-WAIT_ANSWER_S = 0.6
+WAIT_ANSWER_TIMEOUT_S = 0.6
 # A wait that was in vain is followed by a look at what has changed meanwhile.
-LOOK_S = 0.01
-PAGE_ROWS = 500
+RECHECK_WAIT_S = 0.01
+MAX_PAGE_ROWS = 500
 # Rises each time that the store comes back from a copy that lacks its latest writes.
 ERA_HEADER = "Store-Era"
 # What decoding an answer of another shape raises.
-_OTHER_SHAPE = (ValueError, KeyError, TypeError)
+_DECODE_ERRORS = (ValueError, KeyError, TypeError)
 
 
 def decode_row(raw: dict, era: int = 0) -> StoreRow:
@@ -62,7 +62,7 @@
         return StoreRow(key, version, None, unreadable_reason=f"{type(error).__name__}: {error}")
 
 
-def _place(row: RowState) -> dict[str, str]:
+def _row_key(row: RowState) -> dict[str, str]:
     return {"table": row.table, "part": "", "tls_key": row.key}
 
 
@@ -112,7 +112,7 @@
         if answer.status != HTTPStatus.OK:
             return Unavailable(f"status {answer.status}")
         return Written(make_revision(era, int(read_object(answer.body)["ver"])))
-    except _OTHER_SHAPE as error:
+    except _DECODE_ERRORS as error:
         return Unavailable(f"{type(error).__name__}: {error}")
 
 
@@ -141,19 +141,19 @@
         """End the connections."""
         await self._calls.close()
 
-    async def _ask(
+    async def _request(
         self, method: str, call: str, timeout_s: float, **options
     ) -> HttpAnswer | CallFailed:
         """Make one call, and note the era that its answer tells."""
         answer = await self._calls.ask(method, self._url + call, timeout_s, **options)
         if isinstance(answer, HttpAnswer):
-            self._note_era(self._era_of(answer))
+            self._update_era(self._era_of(answer))
         return answer
 
     def _era_of(self, answer: HttpAnswer) -> int:
         return _read_era(answer, self.era or 0)
 
-    def _note_era(self, era: int) -> None:
+    def _update_era(self, era: int) -> None:
         if self.era is not None and era > self.era:
             logging.warning("event=store_restored era=%d before=%d", era, self.era)
             # They began at a version that the store may reach only much later.
@@ -166,7 +166,7 @@
         revision = None
         source = ""
         while True:
-            params = {"table": table, "part": "", "limit": str(PAGE_ROWS)}
+            params = {"table": table, "part": "", "limit": str(MAX_PAGE_ROWS)}
             if source:
                 params["source"] = source
             page = await self._read_page(params)
@@ -190,7 +190,7 @@
         return next((row for row in page.rows if row.key == key), None)
 
     async def _read_page(self, params: dict[str, str]) -> StoreRows | Unavailable:
-        answer = await self._ask("GET", "rows-get", READ_TIMEOUT_S, params=params)
+        answer = await self._request("GET", "rows-get", READ_TIMEOUT_S, params=params)
         body = _read_body(answer)
         if isinstance(body, HistoryLost):
             return Unavailable("no rows")
@@ -202,13 +202,13 @@
         """Return the rows of a table that changed after ``revision``."""
         if era_of(revision) < (self.era or 0):
             return HistoryLost()
-        asked_at = asyncio.get_running_loop().time()
-        answer = await self._ask_for_changes(table, revision, wait_s)
-        if isinstance(answer, CallSilent) and self._calls.answered_at > asked_at:
+        requested_at = asyncio.get_running_loop().time()
+        answer = await self._request_changes(table, revision, wait_s)
+        if isinstance(answer, CallSilent) and self._calls.answered_at > requested_at:
             if era_of(revision) < (self.era or 0):
                 return HistoryLost()
             # The store answers other calls, so only this one's connection was silent.
-            answer = await self._ask_for_changes(table, revision, LOOK_S)
+            answer = await self._request_changes(table, revision, RECHECK_WAIT_S)
         body = _read_body(answer)
         if not isinstance(body, dict):
             return body
@@ -217,7 +217,7 @@
             return HistoryLost()
         return self._decode(body, self._era_of(answer))
 
-    async def _ask_for_changes(
+    async def _request_changes(
         self, table: str, revision: int, wait_s: float
     ) -> HttpAnswer | CallFailed:
         params = {
@@ -225,8 +225,8 @@
             "after_rev": str(version_of(revision)),
             "wait_ms": str(int(wait_s * 1000)),
         }
-        timeout_s = wait_s + WAIT_ANSWER_S
-        return await self._ask("GET", "rows-feed", timeout_s, is_wait=True, params=params)
+        timeout_s = wait_s + WAIT_ANSWER_TIMEOUT_S
+        return await self._request("GET", "rows-feed", timeout_s, is_wait=True, params=params)
 
     async def write_row(
         self, row: RowState, value: dict, unchanged: list[RowState]
@@ -236,23 +236,23 @@
         A conflict may have been carried out all the same, where the store was restored
         meanwhile and the versions happened to fit.
         """
-        named = [row, *unchanged]
-        comparable = tuple(r for r in named if not is_of_earlier_era(r, self.era or 0))
-        if len(comparable) < len(named):
+        expected_rows = [row, *unchanged]
+        comparable = tuple(r for r in expected_rows if not is_of_earlier_era(r, self.era or 0))
+        if len(comparable) < len(expected_rows):
             return Conflict(comparable)
         encoded = base64.b64encode(json.dumps(value).encode()).decode()
         body = {
-            "expected_rev": [{**_place(r), "ver": version_of(r.version)} for r in named],
-            "puts": [{**_place(row), "value": encoded}],
+            "expected_rev": [{**_row_key(r), "ver": version_of(r.version)} for r in expected_rows],
+            "puts": [{**_row_key(row), "value": encoded}],
             "remove": [],
         }
-        answer = await self._ask("POST", "rows-tx", WRITE_TIMEOUT_S, json=body)
+        answer = await self._request("POST", "rows-tx", WRITE_TIMEOUT_S, json=body)
         if isinstance(answer, CallFailed):
             return Unavailable(answer.reason)
         era = self._era_of(answer)
         result = _decode_written(answer, era)
-        is_restored = any(is_of_earlier_era(r, era) for r in named)
-        return Conflict() if isinstance(result, Written) and is_restored else result
+        was_restored = any(is_of_earlier_era(r, era) for r in expected_rows)
+        return Conflict() if isinstance(result, Written) and was_restored else result
 
     def _decode(self, answer: dict, era: int) -> StoreRows | Unavailable:
         try:
--- a/mulleinreach/platform/tests/port_kinds.py
+++ b/mulleinreach/platform/tests/port_kinds.py
@@ -56,7 +56,7 @@
 }
 
 
-class OnMemory:
+class MemoryPorts:
     """The ports on memory."""
 
     def __init__(self, memory, store):
@@ -81,7 +81,7 @@
         self.memory.is_down = True
 
 
-class OnPlatform:
+class PlatformPorts:
     """The ports on the platform's protocol."""
 
     def __init__(self, memory, store):
@@ -125,4 +125,4 @@
     run_virtual(run())
 
 
-both = pytest.mark.parametrize("kind", [OnMemory, OnPlatform])
+both_ports = pytest.mark.parametrize("kind", [MemoryPorts, PlatformPorts])
--- a/mulleinreach/platform/tests/standin.py
+++ b/mulleinreach/platform/tests/standin.py
@@ -34,13 +34,13 @@
     def app(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application()
-        app.on_response_prepare.append(self._tell_era)
+        app.on_response_prepare.append(self._add_era_header)
         app.router.add_get("/mulleinreach/rows-get", self._get)
         app.router.add_get("/mulleinreach/rows-feed", self._feed)
         app.router.add_post("/mulleinreach/rows-tx", self._transact)
         return app
 
-    async def _tell_era(self, request: web.Request, response: web.StreamResponse) -> None:
+    async def _add_era_header(self, request: web.Request, response: web.StreamResponse) -> None:
         response.headers[ERA_HEADER] = str(self.memory.era)
         response.headers.update(self.headers)
 
@@ -51,7 +51,7 @@
         if self.status is not None:
             return web.Response(status=self.status)
         query = request.query
-        table = self.memory.tables.get(self._name(query["table"]), {})
+        table = self.memory.tables.get(self._memory_table(query["table"]), {})
         rows = [r for key, r in sorted(table.items()) if r.value is not None]
         rows = [r for r in rows if r.key >= query.get("source", "")]
         limit = min(self._page, int(query.get("limit", self._page)))
@@ -62,12 +62,12 @@
             return web.Response(status=self.status)
         query = request.query
         after, wait_s = int(query["after_rev"]), int(query["wait_ms"]) / 1000
-        result = await self.memory.wait(self._name(query["table"]), after, wait_s)
+        result = await self.memory.wait(self._memory_table(query["table"]), after, wait_s)
         if not isinstance(result, tuple):
             return web.Response(status=410)
         return self._answer(query["table"], result[1], False)
 
-    def _name(self, table: str) -> str:
+    def _memory_table(self, table: str) -> str:
         return self._tables.get(table, table)
 
     def _answer(self, table: str, rows, has_more: bool) -> web.Response:
@@ -89,10 +89,10 @@
         if self.status is not None:
             return web.Response(status=self.status)
         body = await request.json()
-        places = body["expected_rev"]
-        versions = [self.memory.get(p["table"], p["tls_key"]).version for p in places]
-        if versions != [place["ver"] for place in places]:
-            rows = [{**p, "ver": v} for p, v in zip(places, versions, strict=True) if v]
+        conditions = body["expected_rev"]
+        versions = [self.memory.get(p["table"], p["tls_key"]).version for p in conditions]
+        if versions != [place["ver"] for place in conditions]:
+            rows = [{**p, "ver": v} for p, v in zip(conditions, versions, strict=True) if v]
             return web.json_response({"rows": rows}, status=412)
         for put in body["puts"]:
             value = json.loads(base64.b64decode(put["value"]))
@@ -122,11 +122,11 @@
         app.router.add_get("/mulleinreach/report", self._report)
         return app
 
-    def _is_other(self, request: web.Request) -> bool:
+    def _is_misdirected(self, request: web.Request) -> bool:
         return request.headers.get("X-Mulleinreach-Expect-Instance") != self.id
 
     async def _order(self, request: web.Request) -> web.Response:
-        if self._is_other(request):
+        if self._is_misdirected(request):
             return web.Response(status=421)
         self.orders.append(await request.json())
         status = self.answers.pop(0)
@@ -135,7 +135,7 @@
         return web.Response(status=status, headers=self.headers)
 
     async def _report(self, request: web.Request) -> web.Response:
-        if self._is_other(request):
+        if self._is_misdirected(request):
             return web.Response(status=421)
         return web.json_response(self.report, headers=self.headers)
 
--- a/mulleinreach/platform/tests/test_notices.py
+++ b/mulleinreach/platform/tests/test_notices.py
@@ -52,13 +52,11 @@
         (200, {REQUEST_ID: "r", LIMIT: "some"}, None),
     ],
 )
-def test_only_a_request_that_was_run_tells_by_silence_that_there_is_no_limit(
-    status, headers, limit_per_s
-):
+def test_missing_limit_header_lifts_limit_only_if_request_was_run(status, headers, limit_per_s):
     assert PlatformDialect().read_notice(status, headers).limit_per_s == limit_per_s
 
 
-def test_answers_to_orders_and_reports_are_told():
+def test_notices_in_answers_to_orders_and_reports_are_published():
     async def test(orders, replica):
         told = []
         orders.subscribe(lambda host, notice: told.append((host.id, notice)))
--- a/mulleinreach/platform/tests/test_orders.py
+++ b/mulleinreach/platform/tests/test_orders.py
@@ -50,7 +50,7 @@
     run_orders([status], test)
 
 
-def test_orders_carry_the_token_where_engines_look_at_it():
+def test_orders_carry_the_token_if_engines_check_it():
     async def test(orders, replica):
         assert await orders.join(HOST, "g", 12, "m", ["u-1"], 3) == Accepted()
         assert await orders.open(HOST, "g", 12, 3) == Accepted()
@@ -60,7 +60,7 @@
     run_orders([202, 202, 412], test, sends_token=True)
 
 
-def test_orders_carry_no_token_where_engines_do_not_look_at_it():
+def test_orders_carry_no_token_if_engines_do_not_check_it():
     async def test(orders, replica):
         await orders.open(HOST, "g", 12, 3)
         assert "fence" not in replica.orders[0]
@@ -68,7 +68,7 @@
     run_orders([202], test)
 
 
-def test_order_without_an_answer_is_unknown():
+def test_order_that_times_out_returns_no_answer():
     async def test(orders, replica):
         assert isinstance(await orders.open(HOST, "g", 12, 3), NoAnswer)
 
@@ -84,7 +84,7 @@
     run_orders([], test)
 
 
-def test_report_is_read_and_one_of_another_shape_is_not():
+def test_valid_report_is_parsed_and_invalid_one_is_unavailable():
     async def test(orders, replica):
         membership = Membership("g", 5, 1, MemberState.READY)
         replica.report = row_of(replace(HOST, membership=membership, staged=("m",)))
--- a/mulleinreach/platform/tests/test_ports.py
+++ b/mulleinreach/platform/tests/test_ports.py
@@ -19,10 +19,10 @@
     UpstreamsRead,
 )
 from mulleinreach.gateway.upstream import Membership, MemberState
-from mulleinreach.platform.tests.port_kinds import HOST, OnPlatform, both, run_ports
+from mulleinreach.platform.tests.port_kinds import HOST, PlatformPorts, both_ports, run_ports
 
 
-@both
+@both_ports
 def test_configuration_is_read_and_waited_for(kind):
     async def test(ports):
         first = await ports.configurations.read()
@@ -40,7 +40,7 @@
     run_ports(kind, test)
 
 
-@both
+@both_ports
 def test_wait_without_a_change_ends_with_nothing_new(kind):
     async def test(ports):
         ports.put_configuration(3)
@@ -52,7 +52,7 @@
     run_ports(kind, test)
 
 
-@both
+@both_ports
 def test_requests_to_empty_halls_are_read_and_waited_for(kind):
     async def test(ports):
         ports.put_configuration(3)
@@ -75,7 +75,7 @@
     run_ports(kind, test)
 
 
-@both
+@both_ports
 def test_all_upstreams_are_read_and_changes_follow(kind):
     async def test(ports):
         hosts = [replace(HOST, id=f"u-{number}") for number in range(8)]
@@ -93,8 +93,8 @@
     run_ports(kind, test)
 
 
-@both
-def test_lost_history_is_told(kind):
+@both_ports
+def test_lost_history_is_reported(kind):
     async def test(ports):
         ports.put_configuration(3)
         ports.memory.history_from = 100
@@ -104,8 +104,8 @@
     run_ports(kind, test)
 
 
-@both
-def test_store_that_is_down_gives_nothing(kind):
+@both_ports
+def test_failing_store_is_reported_as_unavailable(kind):
     async def test(ports):
         ports.fail()
         results = [
@@ -120,7 +120,7 @@
     run_ports(kind, test)
 
 
-@both
+@both_ports
 def test_lease_is_written_once_under_its_version(kind):
     async def test(ports):
         waits = (CallerTimeout("r", 5.5), CallerTimeout("s", 0.25))
@@ -139,7 +139,7 @@
     run_ports(kind, test)
 
 
-@both
+@both_ports
 def test_lease_is_written_only_under_the_configuration_that_is_named(kind):
     async def test(ports):
         ports.put_configuration(7)
@@ -157,7 +157,7 @@
     run_ports(kind, test)
 
 
-@both
+@both_ports
 def test_lease_is_written_only_while_requests_to_empty_halls_are_those_that_are_named(kind):
     async def test(ports):
         ports.put_configuration(7)
@@ -181,8 +181,8 @@
     run_ports(kind, test)
 
 
-@both
-def test_wait_that_ends_without_a_change_tells_no_version_of_the_row(kind):
+@both_ports
+def test_wait_that_ends_without_a_change_returns_no_row_version(kind):
     async def test(ports):
         ports.put_configuration(7)
         read = await ports.configurations.read()
@@ -192,8 +192,8 @@
     run_ports(kind, test)
 
 
-@both
-def test_lost_answer_to_a_write_is_unavailable_and_the_write_stands(kind):
+@both_ports
+def test_write_with_a_lost_answer_is_unavailable_but_stored(kind):
     async def test(ports):
         ports.memory.loses = True
         record = LeaseRecord("a.1", "10.0.0.1:1", 1, 0)
@@ -206,7 +206,7 @@
 # Only the platform's rows can be of another shape.
 
 
-def test_rows_of_another_shape_are_skipped():
+def test_invalid_rows_are_skipped():
     async def test(ports):
         ports.put_upstream(HOST)
         ports.memory.put("servers", "u-2", {"service": "s", "address": "nowhere"})
@@ -217,7 +217,7 @@
         assert read.upstreams == [HOST]
         assert (await ports.configurations.read()).configuration is None
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
 @pytest.mark.parametrize("value", [{}, ["a", "list"], "text", b"no base64 \xc3\xa4"])
@@ -229,10 +229,10 @@
         assert (await ports.configurations.read()).evacuations == expected
         assert (await ports.configurations.wait(before, 1.0)).evacuations == expected
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
-def test_configuration_is_translated():
+def test_configuration_is_parsed():
     async def test(ports):
         ports.put_configuration(7)
         configuration = (await ports.configurations.read()).configuration
@@ -242,26 +242,26 @@
         assert configuration.organisation_for_key("k").name == "o"
         assert configuration.limits.body_bytes == 1000
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
-@pytest.mark.parametrize("spoilt", [{"held": ["x"]}, {"held": 3}, {"first_waits": ["r"]}])
-def test_lease_holds_even_if_what_it_hands_on_can_not_be_read(spoilt):
+@pytest.mark.parametrize("invalid", [{"held": ["x"]}, {"held": 3}, {"first_waits": ["r"]}])
+def test_lease_is_read_even_if_its_handover_state_is_unreadable(invalid):
     async def test(ports):
         record = LeaseRecord(
             "a.1", "10.0.0.1:1", 4, 0, "secret", HandoverState(held=(HeldContent(7, 60.0),))
         )
         await ports.lease.write(0, record)
         value = ports.memory.get("mulleinreach", "coordinator").value
-        ports.memory.put("mulleinreach", "coordinator", {**value, **spoilt})
+        ports.memory.put("mulleinreach", "coordinator", {**value, **invalid})
         read = await ports.lease.read()
         assert read.record == replace(record, inheritance=HandoverState())
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
 @pytest.mark.parametrize("value", [{}, ["a"], b"W1tb", {"holder": "a", "token": "x"}])
-def test_lease_that_can_not_be_read_may_be_taken(value):
+def test_unreadable_lease_can_be_acquired(value):
     async def test(ports):
         version = ports.memory.put("mulleinreach", "coordinator", value)
         read = await ports.lease.read()
@@ -269,4 +269,4 @@
         record = LeaseRecord("a.1", "10.0.0.1:1", 5, 0, "secret")
         assert isinstance(await ports.lease.write(version, record), LeaseWritten)
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
--- a/mulleinreach/platform/tests/test_restored_ports.py
+++ b/mulleinreach/platform/tests/test_restored_ports.py
@@ -18,15 +18,15 @@
 )
 from mulleinreach.gateway.revision import era_of, version_of
 from mulleinreach.platform.store import ERA_HEADER
-from mulleinreach.platform.tests.port_kinds import HOST, OnPlatform, both, run_ports
+from mulleinreach.platform.tests.port_kinds import HOST, PlatformPorts, both_ports, run_ports
 
 RECORD = LeaseRecord("a.1", "10.0.0.1:1", 1, 0, "secret")
 OTHER = LeaseRecord("b.1", "10.0.0.2:1", 2, 0, "other")
 WAIT_S = 0.2
 
 
-@both
-def test_what_a_restored_store_tells_is_later_than_all_before(kind):
+@both_ports
+def test_revisions_after_a_restore_are_later_than_all_before(kind):
     async def test(ports):
         copy = ports.memory.copy()
         for _ in range(5):
@@ -42,8 +42,8 @@
 
 
 @pytest.mark.parametrize("writes", [0, 1, 9])
-@both
-def test_wait_can_not_go_on_from_before_a_restore(kind, writes):
+@both_ports
+def test_wait_from_a_revision_before_a_restore_fails(kind, writes):
     async def test(ports):
         copy = ports.memory.copy()
         ports.put_upstream(HOST)
@@ -62,7 +62,7 @@
     run_ports(kind, test)
 
 
-def test_wait_that_is_under_way_ends_as_soon_as_another_answer_tells_of_the_restore():
+def test_pending_wait_ends_once_another_answer_reports_the_restore():
     async def test(ports):
         for _ in range(9):
             ports.put_upstream(HOST)
@@ -77,31 +77,31 @@
         async with asyncio.timeout(0.2):
             assert await waiting == HistoryLost()
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
-@pytest.mark.parametrize("knows", [False, True])
-@both
-def test_lease_is_not_written_under_a_version_that_was_given_out_again(kind, knows):
+@pytest.mark.parametrize("has_seen_restore", [False, True])
+@both_ports
+def test_lease_is_not_written_under_a_reused_version(kind, has_seen_restore):
     async def test(ports):
         ports.put_upstream(HOST)
         copy = ports.memory.copy()
         written = await ports.lease.write(0, RECORD)
         ports.memory.restore(copy)
         again = ports.memory.put("mulleinreach", "coordinator", {})
-        if kind is not OnPlatform:
+        if kind is not PlatformPorts:
             again = ports.memory.put("lease", "coordinator", OTHER)
             ports.memory.version = again = version_of(written.version)
         assert again == version_of(written.version)
-        if knows:
+        if has_seen_restore:
             await ports.upstreams.read()
         assert await ports.lease.write(written.version, RECORD) == LeaseConflict()
 
     run_ports(kind, test)
 
 
-@both
-def test_lease_is_written_under_what_was_read_after_the_restore(kind):
+@both_ports
+def test_lease_is_written_under_a_version_read_after_the_restore(kind):
     async def test(ports):
         written = await ports.lease.write(0, RECORD)
         copy = ports.memory.copy()
@@ -117,8 +117,8 @@
     run_ports(kind, test)
 
 
-@both
-def test_renewal_proves_nothing_of_rows_that_were_read_before_the_restore(kind):
+@both_ports
+def test_renewal_fails_for_rows_read_before_the_restore(kind):
     async def test(ports):
         ports.put_configuration(7)
         await ports.lease.write(0, RECORD)
@@ -134,7 +134,7 @@
     run_ports(kind, test)
 
 
-def test_list_that_is_restored_between_two_pages_is_not_taken():
+def test_table_restored_between_two_pages_is_not_returned():
     async def test(ports):
         for number in range(7):
             ports.put_upstream(replace(HOST, id=f"u-{number}"))
@@ -150,11 +150,11 @@
         ports.standin.get_rows = restore_then_get
         assert isinstance(await ports.upstreams.read(), Unavailable)
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
 @pytest.mark.parametrize("told", ["", "x", "-1", "²", "1.5"])
-def test_era_that_can_not_be_read_is_taken_as_the_one_known(told):
+def test_unreadable_era_header_keeps_the_known_era(told):
     async def test(ports):
         ports.memory.restore(ports.memory.copy())
         ports.put_upstream(HOST)
@@ -163,4 +163,4 @@
         after = await ports.upstreams.read()
         assert after.revision == before.revision
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
--- a/mulleinreach/platform/tests/test_rows.py
+++ b/mulleinreach/platform/tests/test_rows.py
@@ -12,13 +12,22 @@
 from mulleinreach.common.checked import CheckError
 from mulleinreach.gateway.upstream import Membership, MemberState
 from mulleinreach.platform.rows import parse_report, parse_upstream
-from mulleinreach.platform.tests.port_kinds import HOST, OnPlatform, run_ports
+from mulleinreach.platform.tests.port_kinds import HOST, PlatformPorts, run_ports
 from mulleinreach.platform.tests.standin import row_of
 
 MEMBER = replace(HOST, membership=Membership("g1", 7, 0, MemberState.OPEN), models=("wide",))
 SOUND = row_of(MEMBER)
-REQUIRED = ["service", "address", "zone", "version", "slots", "state", "cold_remaining_ms", "seq"]
-SPOILT = [
+REQUIRED_FIELDS = [
+    "service",
+    "address",
+    "zone",
+    "version",
+    "slots",
+    "state",
+    "cold_remaining_ms",
+    "seq",
+]
+INVALID_FIELDS = [
     ("service", 7),
     ("service", ""),
     ("service", "a\nb"),
@@ -56,24 +65,24 @@
 ]
 
 
-def test_sound_row_is_translated():
+def test_valid_row_is_parsed():
     assert parse_upstream("u-1", SOUND) == replace(MEMBER, id="u-1")
 
 
-@pytest.mark.parametrize("field", REQUIRED)
-def test_row_without_a_field_names_no_upstream(field):
+@pytest.mark.parametrize("field", REQUIRED_FIELDS)
+def test_row_without_a_required_field_is_rejected(field):
     with pytest.raises(CheckError, match=field):
         parse_upstream("u-1", {k: v for k, v in SOUND.items() if k != field})
 
 
-@pytest.mark.parametrize(("field", "value"), SPOILT)
-def test_row_with_a_field_of_another_type_names_no_upstream(field, value):
+@pytest.mark.parametrize(("field", "value"), INVALID_FIELDS)
+def test_row_with_an_invalid_field_is_rejected(field, value):
     with pytest.raises(CheckError, match=field):
         parse_upstream("u-1", {**SOUND, field: value})
 
 
 @pytest.mark.parametrize("key", ["", "a b", "u\n1", "u@17"])
-def test_row_under_a_key_that_is_no_name_names_no_upstream(key):
+def test_row_with_an_invalid_key_is_rejected(key):
     with pytest.raises(CheckError):
         parse_upstream(key, SOUND)
 
@@ -104,7 +113,7 @@
             continue
 
 
-OTHER_ROWS = [
+INVALID_ROWS = [
     {"service": "s", "address": "nowhere"},
     ["a", "list"],
     b"no base64 \xc3\xa4",
@@ -114,8 +123,8 @@
 ]
 
 
-@pytest.mark.parametrize("value", OTHER_ROWS, ids=str)
-def test_row_of_another_writer_takes_its_upstream_off_the_list_and_no_other(value):
+@pytest.mark.parametrize("value", INVALID_ROWS, ids=str)
+def test_invalid_row_removes_its_upstream_and_no_other(value):
     async def test(ports):
         for number in range(3):
             ports.put_upstream(replace(HOST, id=f"u-{number}"))
@@ -133,10 +142,10 @@
         assert [u.id for u in back.upstreams] == ["u-1"]
         assert back.unusable == []
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
-def test_row_that_nests_too_deep_is_unusable():
+def test_too_deeply_nested_row_is_unusable():
     import base64
 
     deep = base64.b64encode(b"[" * 40_000)
@@ -148,10 +157,10 @@
         assert [u.id for u in whole.upstreams] == ["u-0"]
         assert [row.name for row in whole.unusable] == ["u-1"]
 
-    run_ports(OnPlatform, test)
+    run_ports(PlatformPorts, test)
 
 
-def test_reports_that_lack_or_spoil_fields_are_refused():
+def test_reports_with_invalid_fields_are_rejected():
     report = {**SOUND, "pace": 1.5, "in_flight": False}
     assert parse_report(HOST, report).pace == 1.5
     for spoilt in ({"pace": "1"}, {"pace": 0}, {"models": 3}, {"group": {"name": "g"}}):
@@ -159,7 +168,7 @@
             parse_report(HOST, {**report, **spoilt})
 
 
-def test_start_is_part_of_an_upstreams_id():
+def test_start_time_is_part_of_an_upstreams_id():
     first = parse_upstream("u-1", {**SOUND, "born": 1_790_000_000_000})
     again = parse_upstream("u-1", {**SOUND, "born": 1_790_000_000_001})
     assert first.id != again.id
--- a/mulleinreach/platform/tests/test_settings.py
+++ b/mulleinreach/platform/tests/test_settings.py
@@ -44,8 +44,10 @@
 """
 LENIENT = COMPLETE.replace("strict_revoke=true", "strict_revoke=false")
 # This is needed where keys may outlive an outage of the store.
-ONLY_LENIENT = ("bounds.outer_ms",)
-NEEDED = [name for name in parse_lines(COMPLETE) if name not in ("a.new.field", *ONLY_LENIENT)]
+LENIENT_REQUIRED_FIELDS = ("bounds.outer_ms",)
+REQUIRED_FIELDS = [
+    name for name in parse_lines(COMPLETE) if name not in ("a.new.field", *LENIENT_REQUIRED_FIELDS)
+]
 
 
 def test_complete_settings_are_read():
@@ -56,7 +58,7 @@
     assert str(settings.store) == "10.200.1.7:8223"
 
 
-@pytest.mark.parametrize("name", NEEDED)
+@pytest.mark.parametrize("name", REQUIRED_FIELDS)
 def test_missing_field_is_named(name):
     fields = parse_lines(COMPLETE)
     del fields[name]
@@ -81,7 +83,7 @@
     assert settings.identity.regions == {}
 
 
-@pytest.mark.parametrize("name", ONLY_LENIENT)
+@pytest.mark.parametrize("name", LENIENT_REQUIRED_FIELDS)
 def test_missing_bound_of_a_lenient_deployment_is_named(name):
     fields = parse_lines(LENIENT)
     del fields[name]
@@ -89,7 +91,7 @@
         make_settings(fields)
 
 
-def test_keys_of_a_lenient_deployment_follow_the_bound_of_configurations():
+def test_keys_of_a_lenient_deployment_have_the_configuration_bound():
     bounds = make_settings(parse_lines(LENIENT)).bounds
     assert bounds.max_key_evidence_age_s == pytest.approx(0.9 * (2 + 5))
     assert bounds.trusts_keys_in_outages
--- a/mulleinreach/platform/tests/test_silent_nodes.py
+++ b/mulleinreach/platform/tests/test_silent_nodes.py
@@ -29,7 +29,11 @@
 
 STORE_ADDRESS = Address("10.9.0.1", 8000)
 BOUNDS = DeploymentBounds(leaving_propagation_s=3.0, config_propagation_s=2.0)
-EVERY_ONE, FIRST_HALF, SECOND_HALF = slice(None), slice(0, None, 2), slice(1, None, 2)
+ALL_CONNECTIONS, EVEN_CONNECTIONS, ODD_CONNECTIONS = (
+    slice(None),
+    slice(0, None, 2),
+    slice(1, None, 2),
+)
 
 
 class PlatformWorld(GatewayWorld):
@@ -82,9 +86,9 @@
     run_virtual(run())
 
 
-@pytest.mark.parametrize("part", [EVERY_ONE, FIRST_HALF, SECOND_HALF])
+@pytest.mark.parametrize("part", [ALL_CONNECTIONS, EVEN_CONNECTIONS, ODD_CONNECTIONS])
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 0.6])
-def test_lease_is_kept_and_changes_are_known_in_time(part, after_s):
+def test_coordinator_keeps_lease_and_nodes_observe_changes_in_time(part, after_s):
     """Whatever was under way at that moment."""
 
     async def test(world):
@@ -95,9 +99,9 @@
         world.configure(2)
         leaving.drain()
         configured_s = await world.until(lambda: _all_have_version(world, 2))
-        heard_s = configured_s + await world.until(lambda: _all_know_leaving(world, leaving.id))
+        drained_s = configured_s + await world.until(lambda: _all_know_leaving(world, leaving.id))
         assert configured_s <= BOUNDS.config_propagation_s
-        assert heard_s <= BOUNDS.leaving_propagation_s
+        assert drained_s <= BOUNDS.leaving_propagation_s
         assert world.coordinator() == coordinator
 
     run_platform_world(test)
--- a/mulleinreach/platform/tests/test_silent_store.py
+++ b/mulleinreach/platform/tests/test_silent_store.py
@@ -11,7 +11,7 @@
 from mulleinreach.gateway.stored_rows import RowState, StoreRow, StoreRows, Written
 from mulleinreach.platform.store import (
     READ_TIMEOUT_S,
-    WAIT_ANSWER_S,
+    WAIT_ANSWER_TIMEOUT_S,
     WRITE_TIMEOUT_S,
     PlatformStore,
 )
@@ -24,12 +24,12 @@
 TABLE = "servers"
 WAIT_S = 2.0
 # A call on a new connection: the store takes 4 ms.
-ANSWERED_S = 0.1
+ANSWER_BOUND_S = 0.1
 # So many connections are open while three things are asked at once.
 CONNECTIONS = 3
 
 
-class _World:
+class _StoreFixture:
     """A store's stand-in and its client, whose connections can fall silent."""
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
     """Run a test with a store whose table has one row."""
 
     async def run() -> None:
-        world = _World()
+        world = _StoreFixture()
         world.memory.put(TABLE, "a", {"n": 1})
         await world.open()
         try:
@@ -83,13 +83,17 @@
 async def timed(call) -> tuple[object, float]:
     """Return the result of a call, and how long it took."""
     loop = asyncio.get_running_loop()
-    began_at = loop.time()
-    return await call, loop.time() - began_at
+    started_at = loop.time()
+    return await call, loop.time() - started_at
 
 
 @pytest.mark.parametrize(
     ("name", "bound_s"),
-    [("read", READ_TIMEOUT_S), ("wait", WAIT_S + WAIT_ANSWER_S), ("write", WRITE_TIMEOUT_S)],
+    [
+        ("read", READ_TIMEOUT_S),
+        ("wait", WAIT_S + WAIT_ANSWER_TIMEOUT_S),
+        ("write", WRITE_TIMEOUT_S),
+    ],
 )
 def test_call_ends_within_its_bound_and_the_next_one_is_answered(name, bound_s):
     async def test(world):
@@ -97,45 +101,45 @@
         world.silence()
         result, took_s = await timed(getattr(world, name)())
         assert isinstance(result, Unavailable)
-        assert took_s <= bound_s + ANSWERED_S
+        assert took_s <= bound_s + ANSWER_BOUND_S
         result, took_s = await timed(world.read())
         assert isinstance(result, StoreRow)
-        assert took_s < ANSWERED_S
+        assert took_s < ANSWER_BOUND_S
 
     run_store(test)
 
 
-def test_wait_is_asked_again_once_another_call_shows_that_connections_were_silent():
+def test_wait_is_retried_once_another_call_shows_silent_connections():
     async def test(world):
         await world.use_connections()
         waiting = asyncio.create_task(timed(world.wait()))
-        await asyncio.sleep(ANSWERED_S)
+        await asyncio.sleep(ANSWER_BOUND_S)
         world.silence()
         world.memory.put(TABLE, "b", {"n": 2})
         assert isinstance(await world.write(), Unavailable)
         assert isinstance(await world.write(), Written)
         result, took_s = await waiting
         assert [row.key for row in result.rows] == ["b"]
-        assert took_s < WRITE_TIMEOUT_S + 3 * ANSWERED_S
+        assert took_s < WRITE_TIMEOUT_S + 3 * ANSWER_BOUND_S
 
     run_store(test)
 
 
-def test_wait_whose_connection_alone_is_silent_tells_changes_within_its_bound():
+def test_wait_on_a_silent_connection_returns_changes_within_its_bound():
     async def test(world):
         waiting = asyncio.create_task(timed(world.wait()))
-        await asyncio.sleep(ANSWERED_S)
+        await asyncio.sleep(ANSWER_BOUND_S)
         world.silence()
         assert isinstance(await world.read(), StoreRow)
         world.memory.put(TABLE, "b", {"n": 2})
         result, took_s = await waiting
         assert [row.key for row in result.rows] == ["b"]
-        assert took_s < WAIT_S + WAIT_ANSWER_S + ANSWERED_S
+        assert took_s < WAIT_S + WAIT_ANSWER_TIMEOUT_S + ANSWER_BOUND_S
 
     run_store(test)
 
 
-def test_wait_in_a_store_that_answers_nothing_is_asked_once():
+def test_wait_is_not_retried_if_the_store_answers_no_call():
     async def test(world):
         asked = []
 
--- a/mulleinreach/platform/tests/test_translation.py
+++ b/mulleinreach/platform/tests/test_translation.py
@@ -10,7 +10,7 @@
 from mulleinreach.platform.tests.standin import row_of
 
 
-def test_homes_and_cold_hosts_of_a_configuration_are_translated():
+def test_allowed_regions_and_cold_settings_of_a_configuration_are_parsed():
     raw = {
         **DOCUMENT,
         "routes": [{**DOCUMENT["routes"][0], "allowed_regions": ["north", "south"]}],
@@ -25,12 +25,12 @@
     assert (services["t"].cold_s, services["t"].cold_per_s) == (0.0, 0.0)
 
 
-def test_configuration_without_homes_binds_nobody():
+def test_configuration_without_allowed_regions_allows_all_regions():
     configuration = parse_configuration(DOCUMENT)
     assert configuration.match("h.example", "/a/").allowed_regions is None
     assert configuration.organisation_for_key("k").allowed_regions is None
 
 
 @pytest.mark.parametrize(("told", "cold_s"), [({}, 0.0), ({"cold_remaining_ms": 2500}, 2.5)])
-def test_cold_time_of_a_row_is_translated(told, cold_s):
+def test_cold_time_of_a_row_is_parsed(told, cold_s):
     assert parse_upstream("u-1", {**row_of(HOST), **told}).cold_s == cold_s
