--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -101,7 +101,7 @@
         "4",
         "the same for plain services",
         "mulleinreach/requests/plain.py",
-        "return MulleinreachError(code, message, ran=Ran.UNKNOWN)",
+        "return MulleinreachError(code, message, ran=ExecutionStatus.UNKNOWN)",
         "return MulleinreachError(code, message)",
         "tests/test_promise_4_not_run.py",
     ),
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,6 +1,6 @@
 """How far organisations can go over their rate while nodes share it.
 
-The real :class:`ShareLimits` of nine nodes exchange demands and loans every
+The real :class:`DistributedLimiter` of nine nodes exchange demands and loans every
 half second, with delays and cuts. Callers ask for three times the rate, in
 patterns that move the demand about. The excess is what all nodes together admit
 in a window, over the rate times the window.
@@ -11,7 +11,7 @@
 import random
 from dataclasses import dataclass, field
 
-from mulleinreach.admission import ShareLimits
+from mulleinreach.admission import DistributedLimiter
 from mulleinreach.admission.shares import BURST_S
 from mulleinreach.common import MulleinreachError
 from mulleinreach.intents import ConfigDocument, Intent
@@ -57,7 +57,7 @@
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        self.nodes = {name: ShareLimits(name, self.clock, 0.02) for name in NODES}
+        self.nodes = {name: DistributedLimiter(name, self.clock, 0.02) for name in NODES}
         for limits in self.nodes.values():
             limits.set_nodes(NODES)
             limits.follow(make_document())
@@ -87,7 +87,7 @@
 
         def lend():
             grants = self.nodes[lender].lend(asker, demands)
-            take = self.nodes[asker].take_grants
+            take = self.nodes[asker].apply_grants
             self.later(self.rng.uniform(0, 0.3), lambda: take(lender, grants, asked_at))
 
         self.later(self.rng.uniform(0, 0.3), lend)
--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -10,14 +10,14 @@
 import os
 import time
 
-from mulleinreach.common import BoundedEventLog, Clock
-from mulleinreach.common.log import write_without_blocking
+from mulleinreach.common import Clock, RateLimitedEventLog
+from mulleinreach.common.log import install_queued_logging
 
 RATES_PER_S = (20, 200)
 SECONDS = 5
 
 
-def _write_lines_of_a_request(log: BoundedEventLog, number: int) -> None:
+def _write_lines_of_a_request(log: RateLimitedEventLog, number: int) -> None:
     log.event(
         "request_sent",
         id=f"{number:016x}",
@@ -45,7 +45,7 @@
 
 
 async def _share_of_a_core(requests_per_s: int, writes: bool) -> float:
-    log = BoundedEventLog("front-a-1", Clock())
+    log = RateLimitedEventLog("front-a-1", Clock())
     started_at = time.process_time()
     for number in range(requests_per_s * SECONDS):
         if writes:
@@ -57,7 +57,7 @@
 def main() -> None:
     """Print one line for each rate."""
     with open(os.devnull, "w", encoding="utf-8") as sink:
-        write_without_blocking(sink)
+        install_queued_logging(sink)
         for rate in RATES_PER_S:
             idle = asyncio.run(_share_of_a_core(rate, writes=False))
             writing = asyncio.run(_share_of_a_core(rate, writes=True))
--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -31,7 +31,7 @@
         "RESTORE",
         "waits end when a restore is heard of",
         STORE,
-        "            self._calls.end_all_waits()\n",
+        "            self._calls.cancel_long_polls()\n",
         "",
         PORTS,
     ),
--- a/mulleinreach/admission/__init__.py
+++ b/mulleinreach/admission/__init__.py
@@ -2,6 +2,6 @@
 
 from mulleinreach.admission.keys import KeyTable, hash_key
 from mulleinreach.admission.queue import AdmissionQueue, Ticket
-from mulleinreach.admission.shares import ShareLimits
+from mulleinreach.admission.shares import DistributedLimiter
 
 __all__ = ["AdmissionQueue", "KeyTable", "ShareLimits", "Ticket", "hash_key"]
--- a/mulleinreach/admission/tests/test_queue.py
+++ b/mulleinreach/admission/tests/test_queue.py
@@ -10,7 +10,7 @@
 from mulleinreach.standins.virtual import run_virtual
 
 
-class Places:
+class Slots:
     """A number of places that are taken and given back."""
 
     def __init__(self, free):
@@ -22,7 +22,7 @@
         self.free -= 1
         return "place"
 
-    def give_back(self, place):
+    def release(self, place):
         self.free += 1
 
 
@@ -30,36 +30,36 @@
     return Ticket("s", organisation, weight, priority, deadline)
 
 
-async def serve(queue, places, count):
+async def serve(queue, slots, count):
     """Free one place after the other; the queue lets in whose turn it is."""
     for _ in range(count):
-        places.free += 1
-        queue.pump("s")
+        slots.free += 1
+        queue.admit_waiting("s")
         await asyncio.sleep(0.1)
 
 
 def run(scenario):
     async def main():
-        await scenario(AdmissionQueue(Clock(), 100), Places(0))
+        await scenario(AdmissionQueue(Clock(), 100), Slots(0))
 
     run_virtual(main())
 
 
-def enter_all(queue, places, tickets, entered):
+def enter_all(queue, slots, tickets, entered):
     async def one(t):
-        await queue.enter(t, places.take, places.give_back)
+        await queue.enter(t, slots.take, slots.release)
         entered.append(t.organisation)
 
     return [asyncio.create_task(one(t)) for t in tickets]
 
 
 def test_turns_follow_the_weights():
-    async def scenario(queue, places):
+    async def scenario(queue, slots):
         entered = []
         tickets = [ticket("a", 3.0) for _ in range(40)] + [ticket("b", 1.0) for _ in range(40)]
-        tasks = enter_all(queue, places, tickets, entered)
+        tasks = enter_all(queue, slots, tickets, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, places, 40)
+        await serve(queue, slots, 40)
         counts = Counter(entered)
         assert abs(counts["a"] - 30) <= 1
         for task in tasks:
@@ -69,15 +69,15 @@
 
 
 def test_those_that_give_up_cost_their_organisation_nothing():
-    async def scenario(queue, places):
+    async def scenario(queue, slots):
         entered = []
-        given_up = enter_all(queue, places, [ticket("b")] * 30, entered)
+        given_up = enter_all(queue, slots, [ticket("b")] * 30, entered)
         await asyncio.sleep(0.1)
         for task in given_up:
             task.cancel()
-        tasks = enter_all(queue, places, [ticket("a")] * 20 + [ticket("b")] * 20, entered)
+        tasks = enter_all(queue, slots, [ticket("a")] * 20 + [ticket("b")] * 20, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, places, 20)
+        await serve(queue, slots, 20)
         assert abs(Counter(entered)["a"] - 10) <= 1
         for task in tasks:
             task.cancel()
@@ -86,22 +86,22 @@
 
 
 def test_a_higher_priority_goes_first():
-    async def scenario(queue, places):
+    async def scenario(queue, slots):
         entered = []
         tickets = [ticket("low", priority=2)] * 3 + [ticket("high", priority=0)] * 3
-        enter_all(queue, places, tickets, entered)
+        enter_all(queue, slots, tickets, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, places, 6)
+        await serve(queue, slots, 6)
         assert entered == ["high"] * 3 + ["low"] * 3
 
     run(scenario)
 
 
 def test_a_deadline_that_passes_in_the_queue_is_answered_then():
-    async def scenario(queue, places):
+    async def scenario(queue, slots):
         loop = asyncio.get_running_loop()
         with pytest.raises(MulleinreachError) as raised:
-            await queue.enter(ticket("a", deadline=loop.time() + 2), places.take, places.give_back)
+            await queue.enter(ticket("a", deadline=loop.time() + 2), slots.take, slots.release)
         assert raised.value.code is Code.OVERLOADED
         assert loop.time() == pytest.approx(2.0)
 
@@ -109,14 +109,14 @@
 
 
 def test_a_request_that_cannot_make_its_deadline_is_refused_at_once():
-    async def scenario(queue, places):
+    async def scenario(queue, slots):
         entered = []
-        tasks = enter_all(queue, places, [ticket("a")] * 30, entered)
+        tasks = enter_all(queue, slots, [ticket("a")] * 30, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, places, 10)  # ten a second
+        await serve(queue, slots, 10)  # ten a second
         began = asyncio.get_running_loop().time()
         with pytest.raises(MulleinreachError) as raised:
-            await queue.enter(ticket("a", deadline=began + 1), places.take, places.give_back)
+            await queue.enter(ticket("a", deadline=began + 1), slots.take, slots.release)
         assert raised.value.retry_after_s > 0
         assert asyncio.get_running_loop().time() == began
         for task in tasks:
@@ -126,13 +126,13 @@
 
 
 def test_a_place_given_to_a_request_that_has_left_is_given_back():
-    async def scenario(queue, places):
-        (task,) = enter_all(queue, places, [ticket("a")], [])
+    async def scenario(queue, slots):
+        (task,) = enter_all(queue, slots, [ticket("a")], [])
         await asyncio.sleep(0.1)
-        places.free = 1
-        queue.pump("s")
+        slots.free = 1
+        queue.admit_waiting("s")
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert places.free == 1
+        assert slots.free == 1
 
     run(scenario)
--- a/mulleinreach/admission/tests/test_shares.py
+++ b/mulleinreach/admission/tests/test_shares.py
@@ -3,7 +3,7 @@
 import pytest
 
 from benchmarks.limits import NODES, PATTERNS, RATE, WINDOWS_S, Exchange, bound, make_document
-from mulleinreach.admission import ShareLimits
+from mulleinreach.admission import DistributedLimiter
 from mulleinreach.common import Code, MulleinreachError
 from mulleinreach.roster.messages import Demand
 
@@ -46,7 +46,7 @@
     names = NODES[:nodes]
     admitted = 0
     for name in names:
-        limits = ShareLimits(name, exchange.clock, 0.02)
+        limits = DistributedLimiter(name, exchange.clock, 0.02)
         limits.set_nodes(names)
         limits.follow(make_document(10_000.0, concurrency))
         for _ in range(concurrency + 1):
--- a/mulleinreach/cli/client.py
+++ b/mulleinreach/cli/client.py
@@ -31,7 +31,7 @@
     NOT_YET_ACCEPTED = 9
 
 
-EXIT_OF_CODE = {
+EXIT_BY_ERROR_CODE = {
     Code.BAD_REQUEST: Exit.BAD_INPUT,
     Code.BAD_SETTINGS: Exit.BAD_INPUT,
     Code.BODY_TOO_LARGE: Exit.BAD_INPUT,
@@ -76,7 +76,7 @@
             typer.echo(f"{self.server}: {error}", err=True)
             raise typer.Exit(Exit.UNAVAILABLE) from error
         if status >= 400:
-            self._fail(answer["error"])
+            self._exit_with_error(answer["error"])
         return answer
 
     async def _call(self, method: str, path: str, body: dict | None) -> tuple[int, dict]:
@@ -86,12 +86,12 @@
             async with session.request(method, url, json=body) as response:
                 return response.status, json.loads(await response.read())
 
-    def _fail(self, error: dict) -> None:
+    def _exit_with_error(self, error: dict) -> None:
         if self.output is Output.JSON:
             typer.echo(json.dumps({"error": error}, indent=2))
         else:
             typer.echo(f"{error['code']}: {error['message']}", err=True)
-        raise typer.Exit(EXIT_OF_CODE.get(Code(error["code"]), Exit.INTERNAL))
+        raise typer.Exit(EXIT_BY_ERROR_CODE.get(Code(error["code"]), Exit.INTERNAL))
 
     async def lines(self, path: str) -> AsyncIterator[dict]:
         """Yield the events of a stream until it ends."""
--- a/mulleinreach/cli/main.py
+++ b/mulleinreach/cli/main.py
@@ -58,8 +58,8 @@
 async def _run_node(settings: NodeSettings) -> None:
     running = Node(settings)
     stopped = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stopped.set)
     await running.start()
     await stopped.wait()
     await running.stop(STOP_GRACE_S)
@@ -171,11 +171,11 @@
         raise typer.Exit(Exit.BAD_INPUT)
     try:
         with log.open(encoding="utf-8", errors="replace") as lines:
-            told = explain_request(lines, name)
+            explanation = explain_request(lines, name)
     except OSError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(Exit.BAD_INPUT) from error
-    for line in told or [f"no line names request {name!r}"]:
+    for line in explanation or [f"no line names request {name!r}"]:
         typer.echo(line)
 
 
--- a/mulleinreach/cli/show.py
+++ b/mulleinreach/cli/show.py
@@ -32,7 +32,7 @@
         return ["(none)"]
     names = list(rows[0])
     cells = [[name.upper() for name in names]]
-    cells += [[_cell(row[name]) for name in names] for row in rows]
+    cells += [[_format_cell(row[name]) for name in names] for row in rows]
     widths = [max(len(line[i]) for line in cells) for i in range(len(names))]
     lines = []
     for line in cells:
@@ -41,7 +41,7 @@
     return lines
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, list):
         return ",".join(str(item) for item in value)
     if isinstance(value, bool):
--- a/mulleinreach/common/__init__.py
+++ b/mulleinreach/common/__init__.py
@@ -1,21 +1,21 @@
 """Small shared modules: errors, clocks, logs, hashing, tasks and the network."""
 
 from mulleinreach.common.clock import Clock, VirtualClock
-from mulleinreach.common.errors import Code, MulleinreachError, Ran
+from mulleinreach.common.errors import Code, ExecutionStatus, MulleinreachError
 from mulleinreach.common.hashing import rendezvous_rank
-from mulleinreach.common.log import BoundedEventLog, EventLog
+from mulleinreach.common.log import EventLog, RateLimitedEventLog
 from mulleinreach.common.net import Address, Network
-from mulleinreach.common.tasks import TaskGroup, repeat
+from mulleinreach.common.tasks import TaskGroup, run_periodically
 
 __all__ = [
     "Address",
-    "BoundedEventLog",
+    "RateLimitedEventLog",
     "Clock",
     "Code",
     "EventLog",
     "MulleinreachError",
     "Network",
-    "Ran",
+    "ExecutionStatus",
     "TaskGroup",
     "VirtualClock",
     "rendezvous_rank",
--- a/mulleinreach/common/calls.py
+++ b/mulleinreach/common/calls.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -40,11 +40,11 @@
 
 
 @dataclass(frozen=True)
-class CallSilent(CallFailed):
+class CallTimedOut(CallFailed):
     """No answer came in time, or the connection was known to be silent before that."""
 
 
-class HttpCalls:
+class HttpClient:
     """Calls in sessions of which the latest one is used for new calls.
 
     Parameters
@@ -55,78 +55,82 @@
 
     def __init__(self, make_session: Callable[[], aiohttp.ClientSession]):
         self._make_session = make_session
-        self._current = make_session()
-        self._calls: Counter[aiohttp.ClientSession] = Counter()
-        self._waits: dict[asyncio.Timeout, aiohttp.ClientSession] = {}
+        self._current_session = make_session()
+        self._active_calls: Counter[aiohttp.ClientSession] = Counter()
+        self._long_polls: dict[asyncio.Timeout, aiohttp.ClientSession] = {}
         # When the latest answer came, on the loop's clock.
         self.answered_at = NEVER
 
     async def ask(
-        self, method: str, url: str, timeout_s: float, is_wait: bool = False, **options
-    ) -> HttpAnswer | CallFailed:
+        self, method: str, url: str, timeout_s: float, is_long_poll: bool = False, **options
+    ) -> HttpResponse | CallFailed:
         """Make one call, within its time.
 
         Parameters
         ==========
 
-        is_wait : whether its time is over as soon as its connection is known to be silent.
+        is_long_poll : whether its time is over as soon as its connection is known to be silent.
         options : go to the session as they are.
         """
         limit = asyncio.timeout(timeout_s)
         async with self._session() as session:
             try:
                 async with limit:
-                    if is_wait:
-                        self._waits[limit] = session
+                    if is_long_poll:
+                        self._long_polls[limit] = session
                     async with session.request(method, url, **options) as response:
                         body = await response.read()
-                        answer = HttpAnswer(response.status, body, response.headers)
+                        answer = HttpResponse(response.status, body, response.headers)
             except TimeoutError:
-                self._note_silence(session)
-                return CallSilent(f"no answer in {timeout_s:g} s")
+                self._replace_session(session)
+                return CallTimedOut(f"no answer in {timeout_s:g} s")
             except (aiohttp.ClientError, OSError) as error:
                 return CallFailed(f"{type(error).__name__}: {error}")
             finally:
-                self._waits.pop(limit, None)
-        self._note_answer()
+                self._long_polls.pop(limit, None)
+        self._record_answer()
         return answer
 
     @contextlib.asynccontextmanager
     async def _session(self) -> AsyncIterator[aiohttp.ClientSession]:
         """Give a session for one call; one that was given up is closed after its last call."""
-        session = self._current
-        self._calls[session] += 1
+        session = self._current_session
+        self._active_calls[session] += 1
         try:
             yield session
         finally:
-            self._calls[session] -= 1
-            if not self._calls[session]:
-                del self._calls[session]
-                if session is not self._current:
+            self._active_calls[session] -= 1
+            if not self._active_calls[session]:
+                del self._active_calls[session]
+                if session is not self._current_session:
                     await session.close()
 
-    def _note_silence(self, session: aiohttp.ClientSession) -> None:
+    def _replace_session(self, session: aiohttp.ClientSession) -> None:
         """Use new connections after a call in a session ran out of time."""
-        if session is self._current:
-            self._current = self._make_session()
+        if session is self._current_session:
+            self._current_session = self._make_session()
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         """Note that the service answers, and end the waits on connections given up."""
         self.answered_at = asyncio.get_running_loop().time()
-        silent = [limit for limit, session in self._waits.items() if session is not self._current]
-        self._end_waits(silent)
-
-    def end_all_waits(self) -> None:
+        stale_polls = [
+            limit
+            for limit, session in self._long_polls.items()
+            if session is not self._current_session
+        ]
+        self._expire_timeouts(stale_polls)
+
+    def cancel_long_polls(self) -> None:
         """End the waits that are under way, since what they wait for can't come any more."""
-        self._end_waits(list(self._waits))
+        self._expire_timeouts(list(self._long_polls))
 
-    def _end_waits(self, limits: list[asyncio.Timeout]) -> None:
+    def _expire_timeouts(self, limits: list[asyncio.Timeout]) -> None:
         now = asyncio.get_running_loop().time()
         for limit in limits:
-            del self._waits[limit]
+            del self._long_polls[limit]
             if not limit.expired():
                 limit.reschedule(now)
 
     async def close(self) -> None:
         """End the connections of the latest session."""
-        await self._current.close()
+        await self._current_session.close()
--- a/mulleinreach/common/checked.py
+++ b/mulleinreach/common/checked.py
@@ -48,7 +48,7 @@
         raise CheckError(str(error)) from error
 
 
-def check_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Return the address that a text tells; raises :class:`CheckError`."""
     try:
         return Address.parse(text)
--- a/mulleinreach/common/errors.py
+++ b/mulleinreach/common/errors.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 
-class Ran(enum.StrEnum):
+class ExecutionStatus(enum.StrEnum):
     """Whether a request was executed by an upstream.
 
     Explanation
@@ -96,7 +96,7 @@
 
     code: Code
     message: str
-    ran: Ran = Ran.NOT_RUN
+    ran: ExecutionStatus = ExecutionStatus.NOT_RUN
     retry_after_s: float | None = None
 
     def __str__(self) -> str:
--- a/mulleinreach/common/fields.py
+++ b/mulleinreach/common/fields.py
@@ -59,11 +59,11 @@
             raise SettingsError(f"field {name!r}: {value!r} is not finite")
         return number
 
-    def optional(self, name: str, usual: float) -> float:
+    def optional(self, name: str, default: float) -> float:
         """Return a number that not every deployment has."""
-        return self.number(name) if self._fields.get(name) else usual
+        return self.number(name) if self._fields.get(name) else default
 
-    def entries(self, prefix: str) -> dict[str, str]:
+    def fields_with_prefix(self, prefix: str) -> dict[str, str]:
         """Return the fields of a table, by what follows on its name."""
         return {
             name.removeprefix(prefix): value
--- a/mulleinreach/common/log.py
+++ b/mulleinreach/common/log.py
@@ -17,7 +17,7 @@
 
 MAX_LINES_PER_SECOND = 60
 MAX_QUEUED_LINES = 2000
-FLUSH_S = 0.3
+FLUSH_TIMEOUT_S = 0.3
 
 
 def format_value(value: object) -> str:
@@ -52,7 +52,7 @@
         logging.info("%s", " ".join(pairs))
 
 
-class BoundedEventLog(EventLog):
+class RateLimitedEventLog(EventLog):
     """Writes each kind of event at most so many times a second.
 
     Explanation
@@ -110,15 +110,15 @@
             self.enqueue(standard_logging.makeLogRecord({"msg": text, "levelname": "WARNING"}))
 
 
-class _PatientListener(logging_handlers.QueueListener):
+class _TimedStopListener(logging_handlers.QueueListener):
     """Writes what is left at the end, but doesn't wait for a reader that is gone."""
 
     def stop(self) -> None:
-        """End the thread, or leave it behind after ``FLUSH_S`` seconds."""
+        """End the thread, or leave it behind after ``FLUSH_TIMEOUT_S`` seconds."""
         thread, self._thread = self._thread, None
         if thread is not None:
             self.enqueue_sentinel()
-            thread.join(FLUSH_S)
+            thread.join(FLUSH_TIMEOUT_S)
 
     def enqueue_sentinel(self) -> None:
         """Tell the thread to end, even if lines have to be dropped for it."""
@@ -126,7 +126,7 @@
             self.queue.put_nowait(self._sentinel)
 
 
-def write_without_blocking(stream: TextIO | None = None) -> DroppingQueueHandler:
+def install_queued_logging(stream: TextIO | None = None) -> DroppingQueueHandler:
     """Let all log lines go to ``stream`` by way of a thread, so that no writer waits."""
     writer = standard_logging.StreamHandler(stream or sys.stdout)
     writer.setFormatter(
@@ -138,7 +138,7 @@
     root.setLevel(standard_logging.INFO)
     logging.get_absl_logger().handlers = []
     logging.get_absl_logger().propagate = True
-    listener = _PatientListener(handler.queue, writer)
+    listener = _TimedStopListener(handler.queue, writer)
     atexit.register(listener.stop)
     listener.start()
     return handler
--- a/mulleinreach/common/loop.py
+++ b/mulleinreach/common/loop.py
@@ -6,7 +6,7 @@
 import time
 
 # Systems without this clock have none that counts suspended time steadily.
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class SuspendAwareEventLoop(asyncio.SelectorEventLoop):
@@ -26,16 +26,16 @@
 
     >>> loop = SuspendAwareEventLoop()
     >>> before = loop.time()
-    >>> before <= time.clock_gettime(_CLOCK)
+    >>> before <= time.clock_gettime(_BOOT_CLOCK)
     True
     >>> loop.close()
     """
 
     def time(self) -> float:
         """Return seconds since the machine was started, those in suspension too."""
-        return time.clock_gettime(_CLOCK)
+        return time.clock_gettime(_BOOT_CLOCK)
 
 
 def suspended_s() -> float:
     """Return how long the machine has been suspended in all, since it was started."""
-    return time.clock_gettime(_CLOCK) - time.monotonic()
+    return time.clock_gettime(_BOOT_CLOCK) - time.monotonic()
--- a/mulleinreach/common/tasks.py
+++ b/mulleinreach/common/tasks.py
@@ -41,7 +41,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def repeat(interval_s: float, action: Callable[[], Awaitable[object]]) -> None:
+async def run_periodically(interval_s: float, action: Callable[[], Awaitable[object]]) -> None:
     """Call ``action`` for ever, pausing ``interval_s`` seconds after each call.
 
     Explanation
--- a/mulleinreach/common/tests/test_log.py
+++ b/mulleinreach/common/tests/test_log.py
@@ -6,9 +6,9 @@
 
 from absl import logging
 
-from mulleinreach.common import BoundedEventLog
+from mulleinreach.common import RateLimitedEventLog
 
-FLOOD = """
+FLOOD_SCRIPT = """
 import time
 from absl import logging
 from mulleinreach.common.log import EventLog, write_without_blocking
@@ -31,11 +31,11 @@
         return self.time
 
 
-def test_events_of_a_kind_are_bounded_and_what_is_left_out_is_counted(monkeypatch):
+def test_event_rate_is_limited_and_left_out_events_are_counted(monkeypatch):
     lines = []
     monkeypatch.setattr(logging, "info", lambda form, text: lines.append(text))
     clock = FixedClock()
-    log = BoundedEventLog("n", clock, per_second=3)
+    log = RateLimitedEventLog("n", clock, per_second=3)
     for _ in range(10):
         log.event("often")
     log.event("other")
@@ -45,11 +45,13 @@
     assert lines[-1] == "event=often node=n left_out=7"
 
 
-def test_full_pipe_loses_lines_and_does_not_hold_the_process_up(tmp_path):
+def test_full_pipe_drops_lines_without_blocking_the_process(tmp_path):
     done = tmp_path / "done"
     reading, writing = os.pipe()
     process = subprocess.Popen(
-        [sys.executable, "-c", FLOOD.format(done=done)], stdout=writing, stderr=subprocess.DEVNULL
+        [sys.executable, "-c", FLOOD_SCRIPT.format(done=done)],
+        stdout=writing,
+        stderr=subprocess.DEVNULL,
     )
     os.close(writing)
     try:
--- a/mulleinreach/common/tests/test_loop.py
+++ b/mulleinreach/common/tests/test_loop.py
@@ -11,16 +11,16 @@
 from mulleinreach.common.loop import SuspendAwareEventLoop, suspended_s
 
 
-class SuspendedMachine:
+class FakeSystemClocks:
     """The machine's clocks, of which one goes on in suspension."""
 
     def __init__(self) -> None:
-        self.slept_s = 0.0
+        self.suspended_for_s = 0.0
 
     def clock_gettime(self, clock: int) -> float:
         """Return the time of a clock that counts suspension."""
-        assert clock == loop_module._CLOCK
-        return time.monotonic() + self.slept_s
+        assert clock == loop_module._BOOT_CLOCK
+        return time.monotonic() + self.suspended_for_s
 
     @staticmethod
     def monotonic() -> float:
@@ -30,9 +30,9 @@
 
 @pytest.fixture
 def machine(monkeypatch):
-    standin = SuspendedMachine()
-    monkeypatch.setattr(loop_module, "time", standin)
-    return standin
+    fake_clocks = FakeSystemClocks()
+    monkeypatch.setattr(loop_module, "time", fake_clocks)
+    return fake_clocks
 
 
 def run(main):
@@ -41,11 +41,11 @@
         return runner.run(main)
 
 
-def test_sleep_that_is_over_in_suspension_ends_at_the_wake(machine):
+def test_sleep_that_expires_during_suspension_ends_on_resume(machine):
     async def main():
         sleeping = asyncio.create_task(asyncio.sleep(600))
         await asyncio.sleep(0.01)
-        machine.slept_s = 700
+        machine.suspended_for_s = 700
         async with asyncio.timeout(1000):
             await sleeping
 
@@ -55,11 +55,11 @@
     assert time.monotonic() - started_at < 60
 
 
-def test_time_limit_that_passes_in_suspension_is_over_at_the_wake(machine):
+def test_timeout_that_passes_during_suspension_expires_on_resume(machine):
     async def main():
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(600):
-                machine.slept_s = 700
+                machine.suspended_for_s = 700
                 await asyncio.sleep(0)
                 await asyncio.sleep(1000)
 
@@ -68,7 +68,7 @@
     assert time.monotonic() - started_at < 60
 
 
-def test_suspended_time_is_told(machine):
+def test_suspended_time_is_reported(machine):
     before = suspended_s()
-    machine.slept_s = 7
+    machine.suspended_for_s = 7
     assert suspended_s() - before == pytest.approx(7, abs=1)
--- a/mulleinreach/entry/callers.py
+++ b/mulleinreach/entry/callers.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 from prometheus_client import CollectorRegistry, generate_latest
 
-from mulleinreach.admission import KeyTable, ShareLimits
+from mulleinreach.admission import DistributedLimiter, KeyTable
 from mulleinreach.common import Clock, Code, EventLog, MulleinreachError
 from mulleinreach.entry.once import OnceRequest, run_once
 from mulleinreach.entry.parsing import (
@@ -23,10 +23,10 @@
 )
 from mulleinreach.entry.relay import Answer, StreamSink, relay_plain
 from mulleinreach.intents import ConfigInForce, OrganisationIntent, ServiceIntent
-from mulleinreach.requests.call import CallerGone, ModelCall
-from mulleinreach.requests.claims import ClaimStore, KeptAnswer
-from mulleinreach.requests.journal import RequestJournal, RequestStory
-from mulleinreach.requests.plain import PlainCall, PlainRunner, pass_headers
+from mulleinreach.requests.call import CallerDisconnected, ModelCall
+from mulleinreach.requests.claims import ClaimStore, StoredResponse
+from mulleinreach.requests.journal import RequestJournal, RequestTrace
+from mulleinreach.requests.plain import PlainCall, PlainRunner, filter_hop_headers
 from mulleinreach.requests.runner import ModelRunner
 from mulleinreach.settings.model import LimitSettings
 
@@ -44,7 +44,7 @@
     log: EventLog
     force: ConfigInForce
     keys: KeyTable
-    limits: ShareLimits
+    limits: DistributedLimiter
     claims: ClaimStore
     journal: RequestJournal
     models: ModelRunner
@@ -87,7 +87,7 @@
         except MulleinreachError as error:
             code = str(error.code)
             return error_response(error)
-        except CallerGone:
+        except CallerDisconnected:
             code = "caller_gone"
             raise web.HTTPBadRequest from None
         except asyncio.CancelledError:
@@ -135,7 +135,7 @@
         service = self._service(checked.model, "model")
         key = read_key(request)
         request_id = self._new_id()
-        story = parts.journal.open(request_id, organisation.name, service.name)
+        trace = parts.journal.open(request_id, organisation.name, service.name)
         call = ModelCall(
             request_id=request_id,
             path=request.path,
@@ -146,19 +146,19 @@
             affinity=checked.affinity,
             deadline=parts.clock.now() + read_deadline_s(request, service.deadline_s),
             once_only=key is not None or service.is_unrepeatable("POST", request.path),
-            story=story,
+            trace=trace,
         )
-        self._admit(organisation, story)
+        self._admit(organisation, trace)
         try:
             return await self._run_model(request, call, key)
         finally:
             parts.limits.finish(organisation.name)
 
-    def _admit(self, organisation: OrganisationIntent, story: RequestStory) -> None:
+    def _admit(self, organisation: OrganisationIntent, trace: RequestTrace) -> None:
         try:
             self._parts.limits.admit(organisation.name)
         except MulleinreachError as error:
-            self._parts.journal.note(story, f"refused: {error}")
+            self._parts.journal.note(trace, f"refused: {error}")
             raise
 
     async def _run_model(
@@ -167,16 +167,16 @@
         answer = Answer()
         if call.is_streamed:
 
-            async def run() -> KeptAnswer | None:
+            async def run() -> StoredResponse | None:
                 answer.response = await self._stream_model(request, call)
                 return None
 
         else:
 
-            async def run() -> KeptAnswer | None:
+            async def run() -> StoredResponse | None:
                 whole = await self._parts.models.whole(call)
                 answer.response = _whole_response(call.request_id, whole)
-                return KeptAnswer(whole.status, whole.content_type, whole.body.decode())
+                return StoredResponse(whole.status, whole.content_type, whole.body.decode())
 
         await self._run_maybe_once(call, key, call.body, run, answer)
         return answer.response
@@ -197,11 +197,11 @@
             await run()
             return
 
-        async def replay(kept: KeptAnswer) -> None:
+        async def replay(kept: StoredResponse) -> None:
             answer.response = _replayed_response(call.request_id, kept)
 
         once = OnceRequest(
-            call.story.organisation, call.service.name, key, call.request_id, content
+            call.trace.organisation, call.service.name, key, call.request_id, content
         )
         await run_once(self._parts.claims, once, run, replay)
 
@@ -225,7 +225,7 @@
         path = "/" + request.match_info["path"]
         key = read_key(request)
         request_id = self._new_id()
-        story = parts.journal.open(request_id, organisation.name, service.name)
+        trace = parts.journal.open(request_id, organisation.name, service.name)
         is_small = request.content_length is None and not request.can_read_body
         is_small = is_small or (request.content_length or SMALL_BODY_BYTES + 1) <= SMALL_BODY_BYTES
         body = None
@@ -235,15 +235,15 @@
             request_id=request_id,
             method=request.method,
             target=target,
-            headers=pass_headers(request.headers),
+            headers=filter_hop_headers(request.headers),
             body=body,
             content=None if body is not None else request.content.iter_any(),
             service=service,
             deadline=parts.clock.now() + read_deadline_s(request, service.deadline_s),
             once_only=key is not None or service.is_unrepeatable(request.method, path),
-            story=story,
+            trace=trace,
         )
-        self._admit(organisation, story)
+        self._admit(organisation, trace)
         try:
             return await self._run_plain(request, call, key)
         finally:
@@ -254,7 +254,7 @@
     ) -> web.StreamResponse:
         answer = Answer()
 
-        async def run() -> KeptAnswer | None:
+        async def run() -> StoredResponse | None:
             response, host = await self._parts.plain.open(call)
             try:
                 async with response:
@@ -298,7 +298,7 @@
     )
 
 
-def _replayed_response(request_id: str, kept: KeptAnswer) -> web.Response:
+def _replayed_response(request_id: str, kept: StoredResponse) -> web.Response:
     return web.Response(
         text=kept.body,
         status=kept.status,
--- a/mulleinreach/entry/explain.py
+++ b/mulleinreach/entry/explain.py
@@ -83,7 +83,7 @@
         if service.kind == "model":
             return len(self._replicas.candidates(service.name))
         leaving = self._leaving()
-        hosts = self._directory.plain_service(service.name)
+        hosts = self._directory.live_plain_hosts(service.name)
         return sum(host.name not in leaving for host in hosts)
 
     def _get_replicas(self) -> list[dict]:
@@ -121,8 +121,8 @@
         return found
 
     def _get_nodes(self) -> list[dict]:
-        live = set(self._roster.live_names())
-        return [{"node": name, "answers": name in live} for name in self._roster.names()]
+        live = set(self._roster.live_node_names())
+        return [{"node": name, "answers": name in live} for name in self._roster.node_names()]
 
     def states(self) -> dict[str, str]:
         """Return a short state for each replica and for the configuration."""
--- a/mulleinreach/entry/once.py
+++ b/mulleinreach/entry/once.py
@@ -7,14 +7,14 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
 
-from mulleinreach.common import Code, MulleinreachError, Ran
+from mulleinreach.common import Code, ExecutionStatus, MulleinreachError
 from mulleinreach.requests.claims import (
+    AlreadyClaimed,
     Claim,
     ClaimRefused,
     ClaimState,
     ClaimStore,
-    KeptAnswer,
-    Known,
+    StoredResponse,
     claim_key,
 )
 
@@ -40,8 +40,8 @@
 async def run_once(
     claims: ClaimStore,
     request: OnceRequest,
-    run: Callable[[], Awaitable[KeptAnswer | None]],
-    replay: Callable[[KeptAnswer], Awaitable[None]],
+    run: Callable[[], Awaitable[StoredResponse | None]],
+    replay: Callable[[StoredResponse], Awaitable[None]],
 ) -> None:
     """Claim the request's key, then ``run`` it; or ``replay`` the answer it had.
 
@@ -59,7 +59,7 @@
         raise MulleinreachError(
             Code.PLATFORM_UNAVAILABLE, message, retry_after_s=REFUSED_RETRY_AFTER_S
         )
-    if isinstance(claim, Known):
+    if isinstance(claim, AlreadyClaimed):
         await _answer_known(request, claim, replay)
         return
     await _run_claimed(claims, claim, run)
@@ -69,15 +69,15 @@
     try:
         answer = await run()
     except MulleinreachError as error:
-        claims.settle(claim, error.ran)
+        claims.record_outcome(claim, error.ran)
         raise
     except (Exception, asyncio.CancelledError):
-        claims.settle(claim, Ran.UNKNOWN)
+        claims.record_outcome(claim, ExecutionStatus.UNKNOWN)
         raise
-    claims.settle(claim, Ran.RAN, answer)
+    claims.record_outcome(claim, ExecutionStatus.RAN, answer)
 
 
-async def _answer_known(request: OnceRequest, known: Known, replay) -> None:
+async def _answer_known(request: OnceRequest, known: AlreadyClaimed, replay) -> None:
     record = known.record
     if record.digest != request.digest:
         message = f"the key {request.key!r} was used for a request with another content"
@@ -85,6 +85,6 @@
     if record.answer is not None:
         await replay(record.answer)
         return
-    ran = Ran.RAN if record.state is ClaimState.RAN else Ran.UNKNOWN
+    ran = ExecutionStatus.RAN if record.state is ClaimState.RAN else ExecutionStatus.UNKNOWN
     message = f"the key {request.key!r} was used by request {record.request_id}: {record.state}"
     raise MulleinreachError(Code.ALREADY_CLAIMED, message, ran=ran)
--- a/mulleinreach/entry/relay.py
+++ b/mulleinreach/entry/relay.py
@@ -7,10 +7,10 @@
 import aiohttp
 from aiohttp import web
 
-from mulleinreach.common import Code, MulleinreachError, Ran
-from mulleinreach.requests.call import CallerGone
-from mulleinreach.requests.claims import KeptAnswer
-from mulleinreach.requests.plain import PlainCall, pass_headers
+from mulleinreach.common import Code, ExecutionStatus, MulleinreachError
+from mulleinreach.requests.call import CallerDisconnected
+from mulleinreach.requests.claims import StoredResponse
+from mulleinreach.requests.plain import PlainCall, filter_hop_headers
 
 
 @dataclass
@@ -29,7 +29,7 @@
         self.response: web.StreamResponse | None = None
 
     async def write(self, data: bytes) -> None:
-        """Send bytes; raises :class:`CallerGone` if there is nobody to send them to."""
+        """Send bytes; raises :class:`CallerDisconnected` if there is nobody to send them to."""
         try:
             if self.response is None:
                 self.response = web.StreamResponse(
@@ -42,7 +42,7 @@
                 await self.response.prepare(self._request)
             await self.response.write(data)
         except OSError as error:
-            raise CallerGone(str(error)) from error
+            raise CallerDisconnected(str(error)) from error
 
     async def end_with(self, error: MulleinreachError) -> web.StreamResponse:
         """Tell an error inside a stream that has begun; there is no end mark then."""
@@ -61,9 +61,9 @@
     upstream: aiohttp.ClientResponse,
     answer: Answer,
     keep: bool,
-) -> KeptAnswer | None:
+) -> StoredResponse | None:
     """Pass an answer on as it arrives; returns it whole if it is to be kept."""
-    headers = pass_headers(upstream.headers)
+    headers = filter_hop_headers(upstream.headers)
     headers = {k: v for k, v in headers.items() if k.lower() != "x-request-id"}
     headers["x-request-id"] = call.request_id
     response = web.StreamResponse(status=upstream.status, headers=headers)
@@ -85,25 +85,27 @@
             # that the answer is not whole.
             if request.transport is not None:
                 request.transport.abort()
-            raise CallerGone("the upstream's answer broke off") from error
-        raise MulleinreachError(Code.UPSTREAM_FAILED, str(error), ran=Ran.UNKNOWN) from error
+            raise CallerDisconnected("the upstream's answer broke off") from error
+        raise MulleinreachError(
+            Code.UPSTREAM_FAILED, str(error), ran=ExecutionStatus.UNKNOWN
+        ) from error
     if not has_begun:
         await _prepare(response, request)
     await response.write_eof()
     if not keep:
         return None
-    return KeptAnswer(upstream.status, upstream.content_type, kept.decode(errors="replace"))
+    return StoredResponse(upstream.status, upstream.content_type, kept.decode(errors="replace"))
 
 
 async def _prepare(response: web.StreamResponse, request: web.Request) -> None:
     try:
         await response.prepare(request)
     except OSError as error:
-        raise CallerGone(str(error)) from error
+        raise CallerDisconnected(str(error)) from error
 
 
 async def _write(response: web.StreamResponse, chunk: bytes) -> None:
     try:
         await response.write(chunk)
     except OSError as error:
-        raise CallerGone(str(error)) from error
+        raise CallerDisconnected(str(error)) from error
--- a/mulleinreach/evidence.py
+++ b/mulleinreach/evidence.py
@@ -100,9 +100,9 @@
                 node.wholeness.record_report(replica, report, asked_at)
         for host in pong.hosts:
             self._take_host(host, asked_at - host.age_ms / 1000)
-        node.shares.take_grants(peer, pong.grants, asked_at)
+        node.shares.apply_grants(peer, pong.grants, asked_at)
         self._peer_leaving[peer] = (set(pong.leaving_hosts), asked_at)
-        node.queue.pump_all()
+        node.queue.admit_all_waiting()
 
     def _take_host(self, report: HostReport, seen_at: float) -> None:
         known = self._peer_hosts.get(report.host)
@@ -187,7 +187,7 @@
 
     def _watched_groups(self) -> list[GroupRecord]:
         """Return the groups that this node watches."""
-        nodes = self._node.roster.live_names()
+        nodes = self._node.roster.live_node_names()
         basis = (self._node.replicas.changes, tuple(nodes))
         if basis != self._watched_basis:
             # Ranking every replica over all nodes is too much for each pong.
@@ -205,7 +205,7 @@
         groups = self._watched_groups()
         grouped = {host for group in node.replicas.all_groups() for host in group.hosts}
         watched = {host for group in groups for host in group.hosts}
-        nodes = node.roster.live_names()
+        nodes = node.roster.live_node_names()
         for host in node.directory.of_kind(HostKind.ENGINE):
             is_ours = host.name not in grouped and node.name in watchers_of(host.name, nodes)
             if is_ours or (node.lease.is_held() and self._is_unreported(host.name)):
--- a/mulleinreach/gateway/known/counted.py
+++ b/mulleinreach/gateway/known/counted.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mulleinreach.common import BoundedEventLog, Clock
+from mulleinreach.common import Clock, RateLimitedEventLog
 from mulleinreach.gateway.known.store_calls import StoreCalls
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import LeaseRecord, LeaseStore, OperatorRows
@@ -56,7 +56,7 @@
         return result
 
 
-class CountedEventLog(BoundedEventLog):
+class CountedEventLog(RateLimitedEventLog):
     """Counts events by name, including those that the bound keeps out of the log."""
 
     def __init__(self, node: str, clock: Clock, metrics: GatewayMetrics):
--- a/mulleinreach/gateway/process.py
+++ b/mulleinreach/gateway/process.py
@@ -10,7 +10,7 @@
 from absl import logging
 
 from mulleinreach.common import Clock, Network
-from mulleinreach.common.log import write_without_blocking
+from mulleinreach.common.log import install_queued_logging
 from mulleinreach.common.loop import SuspendAwareEventLoop
 from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 from mulleinreach.gateway.node import GatewayNode
@@ -32,7 +32,7 @@
     callers : a socket that already listens on the callers' address; ``None`` to open one.
     """
     logging.set_verbosity(logging.INFO)
-    write_without_blocking()
+    install_queued_logging()
     with asyncio.Runner(loop_factory=SuspendAwareEventLoop) as runner:
         runner.run(_run_node(identity, bounds, make_ports, callers))
 
--- a/mulleinreach/groups/controller.py
+++ b/mulleinreach/groups/controller.py
@@ -76,7 +76,7 @@
     wall : Unix time in seconds.
     lost_after_s : seconds without a status after which a host counts as lost.
     """
-    rows = [HostRecord.from_row(row) for row in cache.under(HOSTS_PREFIX)]
+    rows = [HostRecord.from_row(row) for row in cache.rows_with_prefix(HOSTS_PREFIX)]
     records = {record.name: record for record in rows}
     hosts = {host.name: host for host in directory.of_kind(HostKind.ENGINE)}
     for name in records:
@@ -95,7 +95,7 @@
             lost=gone or absent_s > lost_after_s,
             leaving=host.state is HostState.LEAVING or name in config.drained_hosts,
         )
-    groups = [GroupRecord.from_row(row) for row in cache.under(GROUPS_PREFIX)]
+    groups = [GroupRecord.from_row(row) for row in cache.rows_with_prefix(GROUPS_PREFIX)]
     return FleetView(now, wall, config, views, groups)
 
 
--- a/mulleinreach/intents/document.py
+++ b/mulleinreach/intents/document.py
@@ -5,12 +5,12 @@
 from pydantic import Field
 
 from mulleinreach.intents.intent import Intent
-from mulleinreach.settings.model import Strict
+from mulleinreach.settings.model import StrictModel
 
 CONFIG_KEY = "state/config"
 
 
-class ConfigDocument(Strict):
+class ConfigDocument(StrictModel):
     """A configuration that was confirmed.
 
     Parameters
--- a/mulleinreach/intents/intent.py
+++ b/mulleinreach/intents/intent.py
@@ -7,10 +7,10 @@
 
 from pydantic import Field, model_validator
 
-from mulleinreach.settings.model import Name, Sha256, Strict
+from mulleinreach.settings.model import Name, Sha256, StrictModel
 
 
-class UnrepeatableRule(Strict):
+class UnrepeatableRule(StrictModel):
     """Requests that may run at most once: a method, and a path pattern with ``*``.
 
     Examples
@@ -28,7 +28,7 @@
         return method == self.method and fnmatch.fnmatchcase(path, self.path)
 
 
-class ServiceIntent(Strict):
+class ServiceIntent(StrictModel):
     """One service: replicas of a model that span hosts, or a plain service.
 
     Parameters
@@ -66,7 +66,7 @@
         return any(rule.matches(method, path) for rule in self.unrepeatable)
 
 
-class OrganisationIntent(Strict):
+class OrganisationIntent(StrictModel):
     """One organisation: its keys by hash, its limits, its weight in fair shares.
 
     Parameters
@@ -87,14 +87,14 @@
     priority: int = Field(1, ge=0, le=9)
 
 
-class MeasureWeights(Strict):
+class MeasureWeights(StrictModel):
     """What an hour of a replica down and of an idle accelerator cost, relatively."""
 
     group_downtime: float = Field(1.0, ge=0, le=1000)
     stranded_accelerators: float = Field(1.0, ge=0, le=1000)
 
 
-class Intent(Strict):
+class Intent(StrictModel):
     """The whole of what is wanted."""
 
     kind: Literal["intent"]
--- a/mulleinreach/intents/plan.py
+++ b/mulleinreach/intents/plan.py
@@ -17,7 +17,7 @@
 from dataclasses import asdict, dataclass, replace
 
 from mulleinreach.audit import AuditTrail
-from mulleinreach.common import Clock, Code, MulleinreachError, Ran
+from mulleinreach.common import Clock, Code, ExecutionStatus, MulleinreachError
 from mulleinreach.intents.document import CONFIG_KEY, ConfigDocument
 from mulleinreach.intents.force import ConfigInForce
 from mulleinreach.intents.intent import Intent
@@ -237,7 +237,7 @@
             raise MulleinreachError(Code.CONFLICT, "the configuration has changed; confirm again")
         message = f"it is not known whether plan {plan.id!r} was confirmed; confirm it again"
         raise MulleinreachError(
-            Code.PLATFORM_UNAVAILABLE, message, ran=Ran.UNKNOWN, retry_after_s=2.0
+            Code.PLATFORM_UNAVAILABLE, message, ran=ExecutionStatus.UNKNOWN, retry_after_s=2.0
         )
 
 
--- a/mulleinreach/intents/voters.py
+++ b/mulleinreach/intents/voters.py
@@ -68,7 +68,7 @@
         present = self._force.document.voters
         absent_from = max(self._held_since, now - ABSENT_S)
         kept = [v for v in present if self._answered_since(v, absent_from, now)]
-        live = self._roster.live_names()
+        live = self._roster.live_node_names()
         spare = [name for name in self._by_hall(live) if name not in kept]
         if len(kept) == len(present) and len(kept) >= min(MAX_VOTERS, len(live)):
             return present
--- a/mulleinreach/metrics.py
+++ b/mulleinreach/metrics.py
@@ -57,7 +57,7 @@
         node = self._node
         yield _gauge("configuration_version", "Version applied", node.force.version)
         yield _gauge("configuration_fresh", "1 if it may serve", int(node.force.is_fresh()))
-        yield _gauge("peers_answering", "Other nodes", len(node.roster.live_names()) - 1)
+        yield _gauge("peers_answering", "Other nodes", len(node.roster.live_node_names()) - 1)
         yield _gauge("lease_held", "1 for the holder of groups", int(node.lease.is_held()))
         yield _gauge("attempts_in_flight", "Attempts", len(node.active))
         yield _gauge("explained_requests", "Stories kept", len(node.journal))
--- a/mulleinreach/node.py
+++ b/mulleinreach/node.py
@@ -8,9 +8,9 @@
 
 import aiohttp
 
-from mulleinreach.admission import AdmissionQueue, KeyTable, ShareLimits
+from mulleinreach.admission import AdmissionQueue, DistributedLimiter, KeyTable
 from mulleinreach.audit import AuditTrail
-from mulleinreach.common import Address, Clock, EventLog, Network, TaskGroup, repeat
+from mulleinreach.common import Address, Clock, EventLog, Network, TaskGroup, run_periodically
 from mulleinreach.entry.callers import CallerInterface, CallerParts
 from mulleinreach.entry.explain import Explainer
 from mulleinreach.entry.operators import OperatorInterface, OperatorParts
@@ -119,7 +119,7 @@
             self.directory.is_gone,
         )
         self.keys = KeyTable()
-        self.shares = ShareLimits(self.name, self.clock, timing.clock_rate_error)
+        self.shares = DistributedLimiter(self.name, self.clock, timing.clock_rate_error)
         self.force.listeners += [self.keys.follow, self.shares.follow]
         self.wholeness = ReplicaHealthTracker(self.clock, timing.whole_fresh_s)
         self.replicas = ReplicaTable(
@@ -128,7 +128,7 @@
             self.wholeness,
             self.clock,
             self.leaving_hosts,
-            lambda: len(self.roster.live_names()),
+            lambda: len(self.roster.live_node_names()),
         )
         self.journal = RequestJournal(self.clock, limits.explained_requests)
         owner = f"{self.name}.{self.incarnation}"
@@ -287,13 +287,13 @@
         timing = self.settings.timing
         self.claims.start()
         spawn = self._tasks.spawn
-        spawn(repeat(timing.table_poll_s, self.cache.refresh))
-        spawn(repeat(timing.host_list_poll_s, self._read_host_list))
-        spawn(repeat(timing.host_poll_s, self._assign_watch))
-        spawn(repeat(timing.host_poll_s, self.controller.tick))
-        spawn(repeat(timing.peer_ping_s, self.voters.tick))
-        spawn(repeat(timing.lease_s / 4, self.housekeeping.tick))
-        spawn(repeat(SWEEP_S, self._sweep))
+        spawn(run_periodically(timing.table_poll_s, self.cache.refresh))
+        spawn(run_periodically(timing.host_list_poll_s, self._read_host_list))
+        spawn(run_periodically(timing.host_poll_s, self._assign_watch))
+        spawn(run_periodically(timing.host_poll_s, self.controller.tick))
+        spawn(run_periodically(timing.peer_ping_s, self.voters.tick))
+        spawn(run_periodically(timing.lease_s / 4, self.housekeeping.tick))
+        spawn(run_periodically(SWEEP_S, self._sweep))
 
     async def _read_host_list(self) -> None:
         hosts = await self.host_list.read()
@@ -302,11 +302,11 @@
 
     async def _assign_watch(self) -> None:
         self.evidence.assign_watch()
-        self.shares.set_nodes(self.roster.names())
+        self.shares.set_nodes(self.roster.node_names())
 
     async def _sweep(self) -> None:
         self.active.sweep()
-        self.queue.pump_all()
+        self.queue.admit_all_waiting()
 
     # What the slices ask about the node.
 
--- a/mulleinreach/platform/rows.py
+++ b/mulleinreach/platform/rows.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta
 
-from mulleinreach.common.checked import CheckError, Count, Name, Number, check, check_address
+from mulleinreach.common.checked import CheckError, Count, Name, Number, check, parse_address
 from mulleinreach.gateway.upstream import (
     Membership,
     MemberState,
@@ -108,7 +108,7 @@
     return Upstream(
         id=incarnation_id(name, row.born),
         service=row.service,
-        address=check_address(row.address),
+        address=parse_address(row.address),
         hall=row.zone,
         state=row.state,
         slots=row.slots,
--- a/mulleinreach/platform/settings.py
+++ b/mulleinreach/platform/settings.py
@@ -63,7 +63,7 @@
         is_first_start=reader.flag("bootstrap"),
         processor_cores=reader.number("limits.cores") * reader.number("limits.cpu_fraction"),
         link_mbps=reader.optional("limits.link_mbps", GatewayIdentity.link_mbps),
-        regions=reader.entries("zones."),
+        regions=reader.fields_with_prefix("zones."),
     )
     bounds = DeploymentBounds(
         max_key_evidence_age_s=KEY_EVIDENCE_BOUND_RATIO * _key_revocation_bound_s(reader),
--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -12,7 +12,7 @@
 from absl import logging
 
 from mulleinreach.common import Address
-from mulleinreach.common.calls import CallFailed, CallSilent, HttpAnswer, HttpCalls
+from mulleinreach.common.calls import CallFailed, CallTimedOut, HttpClient, HttpResponse
 from mulleinreach.common.checked import CheckError, read_object
 from mulleinreach.common.http_fields import read_count
 from mulleinreach.gateway.ports import HistoryLost, Unavailable
@@ -81,7 +81,7 @@
     )
 
 
-def _read_body(answer: HttpAnswer | CallFailed) -> dict | HistoryLost | Unavailable:
+def _read_body(answer: HttpResponse | CallFailed) -> dict | HistoryLost | Unavailable:
     """Return the document that an answer holds."""
     if isinstance(answer, CallFailed):
         return Unavailable(answer.reason)
@@ -95,7 +95,7 @@
         return Unavailable(str(error))
 
 
-def _read_era(answer: HttpAnswer, known: int) -> int:
+def _read_era(answer: HttpResponse, known: int) -> int:
     """Return the era that an answer tells, the one known if it tells none that can be read."""
     told = answer.headers.get(ERA_HEADER)
     era = read_count(told)
@@ -104,7 +104,7 @@
     return known if era is None else era
 
 
-def _decode_written(answer: HttpAnswer, era: int) -> Written | Conflict | Unavailable:
+def _decode_written(answer: HttpResponse, era: int) -> Written | Conflict | Unavailable:
     """Return what came of a write that was answered."""
     try:
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
@@ -132,7 +132,7 @@
     """
 
     def __init__(self, make_session: Callable[[], aiohttp.ClientSession], address: Address):
-        self._calls = HttpCalls(make_session)
+        self._calls = HttpClient(make_session)
         self._url = address.url + "/mulleinreach/"
         # The latest era that an answer told.
         self.era: int | None = None
@@ -143,21 +143,21 @@
 
     async def _request(
         self, method: str, call: str, timeout_s: float, **options
-    ) -> HttpAnswer | CallFailed:
+    ) -> HttpResponse | CallFailed:
         """Make one call, and note the era that its answer tells."""
         answer = await self._calls.ask(method, self._url + call, timeout_s, **options)
-        if isinstance(answer, HttpAnswer):
+        if isinstance(answer, HttpResponse):
             self._update_era(self._era_of(answer))
         return answer
 
-    def _era_of(self, answer: HttpAnswer) -> int:
+    def _era_of(self, answer: HttpResponse) -> int:
         return _read_era(answer, self.era or 0)
 
     def _update_era(self, era: int) -> None:
         if self.era is not None and era > self.era:
             logging.warning("event=store_restored era=%d before=%d", era, self.era)
             # They began at a version that the store may reach only much later.
-            self._calls.end_all_waits()
+            self._calls.cancel_long_polls()
         self.era = max(era, self.era or 0)
 
     async def read_table(self, table: str) -> StoreRows | Unavailable:
@@ -204,7 +204,7 @@
             return HistoryLost()
         requested_at = asyncio.get_running_loop().time()
         answer = await self._request_changes(table, revision, wait_s)
-        if isinstance(answer, CallSilent) and self._calls.answered_at > requested_at:
+        if isinstance(answer, CallTimedOut) and self._calls.answered_at > requested_at:
             if era_of(revision) < (self.era or 0):
                 return HistoryLost()
             # The store answers other calls, so only this one's connection was silent.
@@ -219,14 +219,14 @@
 
     async def _request_changes(
         self, table: str, revision: int, wait_s: float
-    ) -> HttpAnswer | CallFailed:
+    ) -> HttpResponse | CallFailed:
         params = {
             "table": table,
             "after_rev": str(version_of(revision)),
             "wait_ms": str(int(wait_s * 1000)),
         }
         timeout_s = wait_s + WAIT_ANSWER_TIMEOUT_S
-        return await self._request("GET", "rows-feed", timeout_s, is_wait=True, params=params)
+        return await self._request("GET", "rows-feed", timeout_s, is_long_poll=True, params=params)
 
     async def write_row(
         self, row: RowState, value: dict, unchanged: list[RowState]
--- a/mulleinreach/requests/active.py
+++ b/mulleinreach/requests/active.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock
-from mulleinreach.requests.call import AttemptEnd, End
+from mulleinreach.requests.call import AttemptResult, End
 
 
 @dataclass(eq=False)
@@ -31,12 +31,12 @@
     timeout: asyncio.Timeout
     has_begun: bool = False
     is_resumable: bool = False
-    ended_by: AttemptEnd | None = None
+    abort_result: AttemptResult | None = None
 
-    def abort(self, end: AttemptEnd) -> None:
+    def abort(self, result: AttemptResult) -> None:
         """End the attempt now; the task that runs it gets a ``TimeoutError``."""
-        if self.ended_by is None:
-            self.ended_by = end
+        if self.abort_result is None:
+            self.abort_result = result
             self.timeout.reschedule(asyncio.get_running_loop().time())
 
 
@@ -74,19 +74,19 @@
         """End the attempts that have to end."""
         now = self._clock.now()
         for attempt in list(self._attempts):
-            end = self._why_end(attempt, now)
-            if end is not None:
-                attempt.abort(end)
+            result = self._find_abort_result(attempt, now)
+            if result is not None:
+                attempt.abort(result)
 
-    def _why_end(self, attempt: ActiveAttempt, now: float) -> AttemptEnd | None:
+    def _find_abort_result(self, attempt: ActiveAttempt, now: float) -> AttemptResult | None:
         if not self.is_whole(attempt.replica, attempt.epoch):
-            return AttemptEnd(End.LOST, f"{attempt.replica} is no longer whole")
+            return AttemptResult(End.LOST, f"{attempt.replica} is no longer whole")
         if now > attempt.deadline:
-            return AttemptEnd(End.FAILED, "the request's deadline passed")
+            return AttemptResult(End.FAILED, "the request's deadline passed")
         silent_s = now - attempt.progress_at
         limit_s = self._token_gap_s if attempt.has_begun else self._first_token_s
         if silent_s > limit_s:
-            return AttemptEnd(End.FAILED, f"{attempt.replica} was silent for {silent_s:.1f} s")
+            return AttemptResult(End.FAILED, f"{attempt.replica} was silent for {silent_s:.1f} s")
         if attempt.is_resumable and self._must_move(attempt.replica):
-            return AttemptEnd(End.MOVED, f"{attempt.replica} is draining, near its deadline")
+            return AttemptResult(End.MOVED, f"{attempt.replica} is draining, near its deadline")
         return None
--- a/mulleinreach/requests/call.py
+++ b/mulleinreach/requests/call.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from mulleinreach.intents import OrganisationIntent, ServiceIntent
-from mulleinreach.requests.journal import RequestStory
+from mulleinreach.requests.journal import RequestTrace
 
 
 @dataclass
@@ -33,7 +33,7 @@
     affinity: str
     deadline: float
     once_only: bool
-    story: RequestStory
+    trace: RequestTrace
 
     @property
     def is_streamed(self) -> bool:
@@ -60,25 +60,25 @@
 
 
 @dataclass(frozen=True)
-class AttemptEnd:
+class AttemptResult:
     """The end of one attempt, and why."""
 
-    end: End
+    result: End
     reason: str
 
     @property
     def may_have_run(self) -> bool:
         """Whether the upstream may have run the request in this attempt."""
-        return self.end not in (End.NOT_SENT, End.REFUSED)
+        return self.result not in (End.NOT_SENT, End.REFUSED)
 
     @property
     def is_failure(self) -> bool:
         """Whether the attempt neither completed nor was moved on purpose."""
-        return self.end not in (End.DONE, End.MOVED)
+        return self.result not in (End.DONE, End.MOVED)
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
+class CompleteResponse:
     """A complete answer of an upstream."""
 
     status: int
@@ -86,7 +86,7 @@
     body: bytes
 
 
-class CallerGone(Exception):
+class CallerDisconnected(Exception):
     """The caller has hung up; nobody waits for the answer any more."""
 
 
@@ -96,22 +96,22 @@
     async def write(self, data: bytes) -> None:
         """Deliver bytes to the caller; the first call sends the head.
 
-        Raises :class:`CallerGone` if the caller can't be written to any more.
+        Raises :class:`CallerDisconnected` if the caller can't be written to any more.
         """
 
 
 @dataclass
-class Attempts:
+class AttemptHistory:
     """The attempts of one request so far."""
 
     count: int = 0
     may_have_run: bool = False
-    ends: list[AttemptEnd] = field(default_factory=list)
+    results: list[AttemptResult] = field(default_factory=list)
     failed_replicas: set[str] = field(default_factory=set)
 
-    def note(self, replica: str, end: AttemptEnd) -> None:
+    def note(self, replica: str, result: AttemptResult) -> None:
         """Add the end of an attempt."""
-        self.ends.append(end)
-        self.may_have_run = self.may_have_run or end.may_have_run
-        if end.end is not End.MOVED:
+        self.results.append(result)
+        self.may_have_run = self.may_have_run or result.may_have_run
+        if result.result is not End.MOVED:
             self.failed_replicas.add(replica)
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -22,7 +22,7 @@
 import hashlib
 from dataclasses import asdict, dataclass, field, replace
 
-from mulleinreach.common import Clock, EventLog, Ran, TaskGroup
+from mulleinreach.common import Clock, EventLog, ExecutionStatus, TaskGroup
 from mulleinreach.stores import (
     ABSENT,
     Committed,
@@ -38,11 +38,11 @@
 )
 
 CLAIMS_PREFIX = "claims/"
-MAX_KEPT_ANSWER_BYTES = 4096
-MAX_PENDING = 10_000
-MAX_BATCH = 200
-RELEASE_TRIES = 600
-RELEASE_INTERVAL_S = 1.0
+MAX_STORED_RESPONSE_BYTES = 4096
+MAX_PENDING_WRITES = 10_000
+MAX_BATCH_WRITES = 200
+MAX_WRITE_TRIES = 600
+WRITE_RETRY_INTERVAL_S = 1.0
 RETENTION_S = 86_400.0
 OUTCOME_WAIT_S = 1.0
 OUTCOME_POLL_S = 0.25
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True)
-class KeptAnswer:
+class StoredResponse:
     """A short answer, kept so that the same key gets it again."""
 
     status: int
@@ -75,14 +75,14 @@
     digest: str
     state: ClaimState
     at: float
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
     @classmethod
     def from_value(cls, value: dict) -> ClaimRecord:
         """Read a row's value."""
         answer = value.get("answer")
         typed = {**value, "state": ClaimState(value["state"])}
-        typed["answer"] = KeptAnswer(**answer) if answer else None
+        typed["answer"] = StoredResponse(**answer) if answer else None
         return cls(**typed)
 
 
@@ -96,7 +96,7 @@
 
 
 @dataclass(frozen=True)
-class Known:
+class AlreadyClaimed:
     """Another request holds the key; it isn't run again."""
 
     record: ClaimRecord
@@ -110,7 +110,7 @@
 
 
 @dataclass
-class _Pending:
+class _PendingWrite:
     """A write that waits for the next transaction."""
 
     key: str
@@ -144,7 +144,7 @@
         self._clock = clock
         self._log = log
         self._interval_s = interval_s
-        self._pending: list[_Pending] = []
+        self._pending: list[_PendingWrite] = []
         self._wake = asyncio.Event()
         self._tasks = TaskGroup()
         self._tokens = 0
@@ -162,7 +162,9 @@
         """End at once, as a crash would."""
         await self._tasks.close()
 
-    async def claim(self, key: str, request_id: str, digest: str) -> Claim | Known | ClaimRefused:
+    async def claim(
+        self, key: str, request_id: str, digest: str
+    ) -> Claim | AlreadyClaimed | ClaimRefused:
         """Claim ``key`` for a request; only a :class:`Claim` may be sent upstream.
 
         Explanation
@@ -175,14 +177,16 @@
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            task.add_done_callback(self._settle_abandoned)
+            task.add_done_callback(self._record_cancelled)
             raise
 
-    def _settle_abandoned(self, task: asyncio.Task) -> None:
+    def _record_cancelled(self, task: asyncio.Task) -> None:
         if not task.cancelled() and isinstance(task.result(), Claim):
-            self.settle(task.result(), Ran.NOT_RUN)
+            self.record_outcome(task.result(), ExecutionStatus.NOT_RUN)
 
-    async def _claim(self, key: str, request_id: str, digest: str) -> Claim | Known | ClaimRefused:
+    async def _claim(
+        self, key: str, request_id: str, digest: str
+    ) -> Claim | AlreadyClaimed | ClaimRefused:
         version = ABSENT
         while True:
             record = self._new_record(request_id, digest)
@@ -198,7 +202,7 @@
                 return ClaimRefused("the claim's row changed while it was written")
             known = ClaimRecord.from_value(held.value)
             if known.state is not ClaimState.NOT_RUN or known.digest != digest:
-                return Known(await self._await_outcome(key, known))
+                return AlreadyClaimed(await self._await_outcome(key, known))
             version = held.version
 
     async def _await_outcome(self, key: str, known: ClaimRecord) -> ClaimRecord:
@@ -218,7 +222,7 @@
 
     async def _read_back(
         self, key: str, version: int, record: ClaimRecord, reason: str
-    ) -> Claim | Known | ClaimRefused:
+    ) -> Claim | AlreadyClaimed | ClaimRefused:
         """Settle a claim whose answer was lost, by what the table holds."""
         row = await self._table.get(key)
         if isinstance(row, Row) and row.value is not None:
@@ -226,7 +230,7 @@
             if found.token == record.token:
                 return Claim(key, row.version, record)
             if found.state is not ClaimState.NOT_RUN:
-                return Known(found)
+                return AlreadyClaimed(found)
         self._tasks.spawn(self._release(key, version, record))
         return ClaimRefused(reason)
 
@@ -241,7 +245,7 @@
         landed, its token is found. In any other case it can't land any more.
         """
         released = replace(record, state=ClaimState.NOT_RUN)
-        for _ in range(RELEASE_TRIES):
+        for _ in range(MAX_WRITE_TRIES):
             row = await self._table.get(key)
             if isinstance(row, Row):
                 landed = row.value is not None and row.value["token"] == record.token
@@ -252,29 +256,31 @@
                 if isinstance(result, Committed):
                     self._log.event("claim_released", request=record.request_id)
                     return
-            await asyncio.sleep(RELEASE_INTERVAL_S)
+            await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
 
-    def settle(self, claim: Claim, ran: Ran, answer: KeptAnswer | None = None) -> None:
+    def record_outcome(
+        self, claim: Claim, ran: ExecutionStatus, answer: StoredResponse | None = None
+    ) -> None:
         """Write the outcome of a claimed request, in the background."""
-        if answer is not None and len(answer.body) > MAX_KEPT_ANSWER_BYTES:
+        if answer is not None and len(answer.body) > MAX_STORED_RESPONSE_BYTES:
             answer = None
         record = replace(claim.record, state=ClaimState(str(ran)), answer=answer)
-        self._tasks.spawn(self._settle(claim, record))
+        self._tasks.spawn(self._write_outcome(claim, record))
 
-    async def _settle(self, claim: Claim, record: ClaimRecord) -> None:
-        for _ in range(RELEASE_TRIES):
+    async def _write_outcome(self, claim: Claim, record: ClaimRecord) -> None:
+        for _ in range(MAX_WRITE_TRIES):
             result = await self._write(claim.key, claim.version, record)
             # A conflict means that an earlier try was carried out after all:
             # no one else writes a row that holds our token.
             if isinstance(result, Committed | Conflict):
                 return
-            await asyncio.sleep(RELEASE_INTERVAL_S)
+            await asyncio.sleep(WRITE_RETRY_INTERVAL_S)
         self._log.event("claim_outcome_lost", request=record.request_id, state=record.state)
 
     async def _write(self, key: str, version: int, record: ClaimRecord) -> TransactionResult:
-        if len(self._pending) >= MAX_PENDING:
-            return Unavailable(f"{MAX_PENDING} claims are waiting already")
-        pending = _Pending(key, version, record)
+        if len(self._pending) >= MAX_PENDING_WRITES:
+            return Unavailable(f"{MAX_PENDING_WRITES} claims are waiting already")
+        pending = _PendingWrite(key, version, record)
         self._pending.append(pending)
         self._wake.set()
         return await pending.result
@@ -300,19 +306,19 @@
             _resolve([p for p in batch if p.key in conflicting], result)
             batch = [p for p in batch if p.key not in conflicting]
 
-    def _take_batch(self) -> list[_Pending]:
+    def _take_batch(self) -> list[_PendingWrite]:
         """Take pending writes, one for each row; others of the row wait a turn."""
-        batch, later, keys = [], [], set()
+        batch, deferred, keys = [], [], set()
         for pending in self._pending:
             if pending.result.done():
                 continue
-            if pending.key in keys or len(batch) >= MAX_BATCH:
-                later.append(pending)
+            if pending.key in keys or len(batch) >= MAX_BATCH_WRITES:
+                deferred.append(pending)
             else:
                 keys.add(pending.key)
                 batch.append(pending)
-        self._pending = later
-        if later:
+        self._pending = deferred
+        if deferred:
             self._wake.set()
         return batch
 
@@ -330,7 +336,7 @@
         return len(old) if isinstance(result, Committed) else 0
 
 
-def _resolve(batch: list[_Pending], result: TransactionResult) -> None:
+def _resolve(batch: list[_PendingWrite], result: TransactionResult) -> None:
     for pending in batch:
         if not pending.result.done():
             pending.result.set_result(result)
--- a/mulleinreach/requests/journal.py
+++ b/mulleinreach/requests/journal.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class RequestStory:
+class RequestTrace:
     """The decisions about one request, in order; times in seconds since it came."""
 
     request_id: str
@@ -29,30 +29,30 @@
 class RequestJournal:
     """The stories of the latest requests; the oldest are forgotten first."""
 
-    def __init__(self, clock: Clock, most: int):
+    def __init__(self, clock: Clock, max_requests: int):
         self._clock = clock
-        self._most = most
-        self._stories: OrderedDict[str, RequestStory] = OrderedDict()
+        self._max_requests = max_requests
+        self._traces: OrderedDict[str, RequestTrace] = OrderedDict()
 
-    def open(self, request_id: str, organisation: str, service: str) -> RequestStory:
+    def open(self, request_id: str, organisation: str, service: str) -> RequestTrace:
         """Begin the story of a request."""
-        story = RequestStory(request_id, organisation, service, self._clock.now())
-        self._stories[request_id] = story
-        if len(self._stories) > self._most:
-            self._stories.popitem(last=False)
-        return story
+        trace = RequestTrace(request_id, organisation, service, self._clock.now())
+        self._traces[request_id] = trace
+        if len(self._traces) > self._max_requests:
+            self._traces.popitem(last=False)
+        return trace
 
-    def note(self, story: RequestStory, text: str) -> None:
+    def note(self, trace: RequestTrace, text: str) -> None:
         """Add a step; beyond ``MAX_STEPS`` only the last is kept up to date."""
-        step = (self._clock.now() - story.began_at, text)
-        if len(story.steps) >= MAX_STEPS:
-            story.steps[-1] = step
+        step = (self._clock.now() - trace.began_at, text)
+        if len(trace.steps) >= MAX_STEPS:
+            trace.steps[-1] = step
         else:
-            story.steps.append(step)
+            trace.steps.append(step)
 
-    def get(self, request_id: str) -> RequestStory | None:
+    def get(self, request_id: str) -> RequestTrace | None:
         """Return the story of a request, if it isn't forgotten."""
-        return self._stories.get(request_id)
+        return self._traces.get(request_id)
 
     def __len__(self) -> int:
-        return len(self._stories)
+        return len(self._traces)
--- a/mulleinreach/requests/plain.py
+++ b/mulleinreach/requests/plain.py
@@ -8,15 +8,15 @@
 
 import aiohttp
 
-from mulleinreach.common import Address, Clock, Code, EventLog, MulleinreachError, Ran
+from mulleinreach.common import Address, Clock, Code, EventLog, ExecutionStatus, MulleinreachError
 from mulleinreach.intents import ServiceIntent
 from mulleinreach.requests.budget import RetryBudget
-from mulleinreach.requests.journal import RequestJournal, RequestStory
+from mulleinreach.requests.journal import RequestJournal, RequestTrace
 from mulleinreach.stores import Host, HostDirectory
 
 MAX_ATTEMPTS = 3
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "OPTIONS", "PUT", "DELETE"})
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -55,7 +55,7 @@
     service: ServiceIntent
     deadline: float
     once_only: bool
-    story: RequestStory
+    trace: RequestTrace
 
     @property
     def is_repeatable(self) -> bool:
@@ -99,28 +99,28 @@
         for attempt in range(1, MAX_ATTEMPTS + 1):
             host = self._choose(call, tried)
             tried.add(host.name)
-            self._journal.note(call.story, f"attempt {attempt} to {host.name}")
+            self._journal.note(call.trace, f"attempt {attempt} to {host.name}")
             try:
                 return await self._send(call, host), host.name
             except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-                self._journal.note(call.story, f"{host.name} was not reached: {error}")
+                self._journal.note(call.trace, f"{host.name} was not reached: {error}")
             except TimeoutError:
                 raise self._error(Code.DEADLINE_EXCEEDED, "no answer in time") from None
             except (aiohttp.ClientError, OSError) as error:
-                self._journal.note(call.story, f"{host.name} failed after bytes were sent")
+                self._journal.note(call.trace, f"{host.name} failed after bytes were sent")
                 if not call.is_repeatable or not self._budget.try_spend():
                     raise self._error(Code.UPSTREAM_FAILED, str(error)) from error
         message = f"no host of {call.service.name!r} was reached"
         raise MulleinreachError(Code.NO_REPLICA, message, retry_after_s=RETRY_AFTER_S)
 
     def _error(self, code: Code, message: str) -> MulleinreachError:
-        return MulleinreachError(code, message, ran=Ran.UNKNOWN)
+        return MulleinreachError(code, message, ran=ExecutionStatus.UNKNOWN)
 
     def _choose(self, call: PlainCall, tried: set[str]) -> Host:
         leaving = self._leaving_hosts()
         hosts = [
             host
-            for host in self._directory.plain_service(call.service.name)
+            for host in self._directory.live_plain_hosts(call.service.name)
             if host.name not in leaving and host.name not in tried
         ]
         if not hosts:
@@ -147,6 +147,6 @@
         self._in_flight[host] -= 1
 
 
-def pass_headers(headers) -> dict[str, str]:
+def filter_hop_headers(headers) -> dict[str, str]:
     """Return the headers that go on to the next hop."""
-    return {k: v for k, v in headers.items() if k.lower() not in HOP_HEADERS}
+    return {k: v for k, v in headers.items() if k.lower() not in HOP_BY_HOP_HEADERS}
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -20,11 +20,23 @@
 import aiohttp
 
 from mulleinreach.admission import AdmissionQueue, Ticket
-from mulleinreach.common import Clock, Code, EventLog, MulleinreachError, Ran
+from mulleinreach.common import Clock, Code, EventLog, ExecutionStatus, MulleinreachError
 from mulleinreach.requests.active import ActiveAttempt, ActiveAttempts
-from mulleinreach.requests.answers import judge_head, move_kv, read_bounded, with_resume_text
+from mulleinreach.requests.answers import (
+    build_resume_body,
+    check_response_status,
+    read_bounded,
+    transfer_kv_cache,
+)
 from mulleinreach.requests.budget import RetryBudget
-from mulleinreach.requests.call import AttemptEnd, Attempts, End, ModelCall, Sink, WholeAnswer
+from mulleinreach.requests.call import (
+    AttemptHistory,
+    AttemptResult,
+    CompleteResponse,
+    End,
+    ModelCall,
+    Sink,
+)
 from mulleinreach.requests.journal import RequestJournal
 from mulleinreach.requests.stream import OrderedStream, StreamError
 from mulleinreach.routing import Candidate, ReplicaTable, Router
@@ -32,8 +44,8 @@
 MAX_ATTEMPTS = 4
 NO_REPLICA_WAIT_S = 2.0
 NO_REPLICA_POLL_S = 0.1
-LOST_RETRY_AFTER_S = 2.0
-WORK_WEIGHT = 0.05
+DEFAULT_RETRY_AFTER_S = 2.0
+DURATION_SMOOTHING = 0.05
 
 NOT_SENT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 SENT_ERRORS = (aiohttp.ClientError, ConnectionError, OSError)
@@ -52,10 +64,10 @@
 
 
 @dataclass
-class PlaceUse:
-    """How the attempt that holds a place ended; ``None`` if it was cancelled."""
+class HeldSlot:
+    """How the attempt that holds a candidate ended; ``None`` if it was cancelled."""
 
-    end: AttemptEnd | None = None
+    result: AttemptResult | None = None
 
 
 class ModelRunner:
@@ -86,60 +98,63 @@
         self._log = log
         self._answer_bytes = answer_bytes
         self._resume_bytes = resume_bytes
-        self._work_s: dict[str, float] = {}
+        self._mean_duration_s: dict[str, float] = {}
         self.metrics = RequestMetrics()
 
     async def stream(self, call: ModelCall, sink: Sink) -> None:
         """Deliver a streamed answer whole, or raise; what was delivered is never repeated."""
         stream = OrderedStream(call.request_id, self._resume_bytes)
-        attempts = Attempts()
+        attempts = AttemptHistory()
         self._budget.earn()
-        place: Candidate | None = None
+        candidate: Candidate | None = None
         try:
             while not stream.is_done:
-                previous, place = place, await self._next_place(call, attempts, place, stream)
-                with self._occupy(call, place) as use:
-                    if attempts.ends and attempts.ends[-1].end is End.MOVED:
-                        await self._move_kv(call, previous, place)
-                    use.end = await self._try_stream(call, place, attempts, stream, sink)
-                self._after_attempt(call, place, attempts, use.end, stream)
+                previous, candidate = (
+                    candidate,
+                    await self._next_candidate(call, attempts, candidate, stream),
+                )
+                with self._hold_slot(call, candidate) as slot:
+                    if attempts.results and attempts.results[-1].result is End.MOVED:
+                        await self._transfer_kv_cache(call, previous, candidate)
+                    slot.result = await self._try_stream(call, candidate, attempts, stream, sink)
+                self._handle_attempt_result(call, candidate, attempts, slot.result, stream)
         finally:
             self.metrics.foreign_events += stream.counts.foreign
             self.metrics.duplicate_events += stream.counts.duplicates
 
-    async def whole(self, call: ModelCall) -> WholeAnswer:
+    async def whole(self, call: ModelCall) -> CompleteResponse:
         """Return the whole answer, or raise."""
-        attempts = Attempts()
+        attempts = AttemptHistory()
         self._budget.earn()
-        place: Candidate | None = None
+        candidate: Candidate | None = None
         while True:
-            place = await self._next_place(call, attempts, place, None)
+            candidate = await self._next_candidate(call, attempts, candidate, None)
             began = self._clock.now()
-            with self._occupy(call, place) as use:
-                use.end, answer = await self._try_whole(call, place, attempts)
-            self._after_attempt(call, place, attempts, use.end, None)
+            with self._hold_slot(call, candidate) as slot:
+                slot.result, answer = await self._try_complete(call, candidate, attempts)
+            self._handle_attempt_result(call, candidate, attempts, slot.result, None)
             if answer is not None:
-                self._note_work(call.service.name, self._clock.now() - began)
+                self._record_duration(call.service.name, self._clock.now() - began)
                 return answer
 
-    def _note_work(self, service: str, seconds: float) -> None:
+    def _record_duration(self, service: str, seconds: float) -> None:
         """Learn how long whole answers take, so that none enters too late to be in time."""
-        known = self._work_s.get(service, seconds)
-        self._work_s[service] = known + WORK_WEIGHT * (seconds - known)
+        known = self._mean_duration_s.get(service, seconds)
+        self._mean_duration_s[service] = known + DURATION_SMOOTHING * (seconds - known)
 
     # Choosing where the next attempt goes.
 
-    async def _next_place(
+    async def _next_candidate(
         self,
         call: ModelCall,
-        attempts: Attempts,
+        attempts: AttemptHistory,
         last: Candidate | None,
         stream: OrderedStream | None,
     ) -> Candidate:
         attempts.count += 1
-        if last is not None and self._may_resume_on(last, attempts, stream):
+        if last is not None and self._can_resume_on(last, attempts, stream):
             self._replicas.note_sent(last.replica)
-            self._journal.note(call.story, f"resume on {last.replica}, which has the stream")
+            self._journal.note(call.trace, f"resume on {last.replica}, which has the stream")
             return last
         await self._await_candidates(call, attempts)
         ticket = Ticket(
@@ -148,42 +163,46 @@
             call.organisation.weight,
             call.organisation.priority,
             call.deadline,
-            0.0 if call.is_streamed else self._work_s.get(call.service.name, 0.0),
+            0.0 if call.is_streamed else self._mean_duration_s.get(call.service.name, 0.0),
         )
         try:
-            place = await self._queue.enter(
+            candidate = await self._queue.enter(
                 ticket,
-                lambda: self._take_place(call, attempts),
-                lambda place: self._replicas.note_finished(place.replica, failed=False),
+                lambda: self._acquire_slot(call, attempts),
+                lambda candidate: self._replicas.note_finished(candidate.replica, failed=False),
             )
         except MulleinreachError as error:
-            raise self._final(call, attempts, error) from None
-        if self._clock.now() - call.story.began_at > NO_REPLICA_POLL_S:
-            self._journal.note(call.story, "left the queue")
-        return place
+            raise self._final_error(call, attempts, error) from None
+        if self._clock.now() - call.trace.began_at > NO_REPLICA_POLL_S:
+            self._journal.note(call.trace, "left the queue")
+        return candidate
 
-    def _may_resume_on(
-        self, last: Candidate, attempts: Attempts, stream: OrderedStream | None
+    def _can_resume_on(
+        self, last: Candidate, attempts: AttemptHistory, stream: OrderedStream | None
     ) -> bool:
         """Whether to go on where the stream was cut: once, if the replica is whole."""
-        if stream is None or stream.next_position == 0 or attempts.ends[-1].end is not End.FAILED:
+        if (
+            stream is None
+            or stream.next_position == 0
+            or attempts.results[-1].result is not End.FAILED
+        ):
             return False
-        if sum(end.end is End.FAILED for end in attempts.ends) > 1:
+        if sum(result.result is End.FAILED for result in attempts.results) > 1:
             return False
         return self._active.is_whole(last.replica, last.epoch)
 
-    async def _await_candidates(self, call: ModelCall, attempts: Attempts) -> None:
+    async def _await_candidates(self, call: ModelCall, attempts: AttemptHistory) -> None:
         give_up_at = min(call.deadline, self._clock.now() + NO_REPLICA_WAIT_S)
         while not self._replicas.candidates(call.service.name):
             if self._clock.now() >= give_up_at:
                 message = f"no replica of {call.service.name!r} serves at the moment"
                 error = MulleinreachError(
-                    Code.NO_REPLICA, message, retry_after_s=LOST_RETRY_AFTER_S
+                    Code.NO_REPLICA, message, retry_after_s=DEFAULT_RETRY_AFTER_S
                 )
-                raise self._final(call, attempts, error)
+                raise self._final_error(call, attempts, error)
             await asyncio.sleep(NO_REPLICA_POLL_S)
 
-    def _take_place(self, call: ModelCall, attempts: Attempts) -> Candidate | None:
+    def _acquire_slot(self, call: ModelCall, attempts: AttemptHistory) -> Candidate | None:
         """Choose a replica with room and count the request in; ``None`` if none has."""
         usable = self._replicas.candidates(call.service.name)
         fresh = [c for c in usable if c.replica not in attempts.failed_replicas]
@@ -191,54 +210,54 @@
         if choice is None:
             return None
         self._replicas.note_sent(choice.candidate.replica)
-        place = choice.candidate
+        candidate = choice.candidate
         self._journal.note(
-            call.story,
-            f"attempt {attempts.count} to {place.replica} (epoch {place.epoch}): {choice.why}",
+            call.trace,
+            f"attempt {attempts.count} to {candidate.replica} (epoch {candidate.epoch}): {choice.why}",
         )
-        return place
+        return candidate
 
     @contextlib.contextmanager
-    def _occupy(self, call: ModelCall, place: Candidate) -> Iterator[PlaceUse]:
+    def _hold_slot(self, call: ModelCall, candidate: Candidate) -> Iterator[HeldSlot]:
         """Hold the place that was taken; give it back however the attempt ends."""
-        use = PlaceUse()
+        slot = HeldSlot()
         try:
-            yield use
+            yield slot
         finally:
-            failed = use.end is not None and use.end.is_failure
-            self._replicas.note_finished(place.replica, failed)
-            self._queue.pump(call.service.name)
+            failed = slot.result is not None and slot.result.is_failure
+            self._replicas.note_finished(candidate.replica, failed)
+            self._queue.admit_waiting(call.service.name)
 
     # One attempt.
 
-    def _headers(self, call: ModelCall, place: Candidate, attempt: int) -> dict[str, str]:
+    def _headers(self, call: ModelCall, candidate: Candidate, attempt: int) -> dict[str, str]:
         return {
             "content-type": "application/json",
             "x-request-id": call.request_id,
             "x-attempt": str(attempt),
-            "x-replica": place.replica,
-            "x-group-epoch": str(place.epoch),
+            "x-replica": candidate.replica,
+            "x-group-epoch": str(candidate.epoch),
             "x-priority": str(call.organisation.priority),
         }
 
     async def _try_stream(
         self,
         call: ModelCall,
-        place: Candidate,
-        attempts: Attempts,
+        candidate: Candidate,
+        attempts: AttemptHistory,
         stream: OrderedStream,
         sink: Sink,
-    ) -> AttemptEnd:
-        headers = self._headers(call, place, attempts.count)
+    ) -> AttemptResult:
+        headers = self._headers(call, candidate, attempts.count)
         body = call.body
         if stream.next_position > 0:
             last = f"{call.request_id}/{attempts.count}:{stream.next_position - 1}"
             headers["last-event-id"] = last
-            body = with_resume_text(call, stream)
+            body = build_resume_body(call, stream)
             self.metrics.resumes += 1
         stream.begin_attempt(attempts.count)
 
-        async def relay(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptEnd:
+        async def relay(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptResult:
             loop = asyncio.get_running_loop()
             async for chunk in response.content.iter_any():
                 active.progress_at = loop.time()
@@ -247,42 +266,44 @@
                 if ready:
                     await sink.write(ready)
                 if stream.is_done:
-                    return AttemptEnd(End.DONE, "complete")
-            return AttemptEnd(End.FAILED, f"the stream ended at position {stream.next_position}")
+                    return AttemptResult(End.DONE, "complete")
+            return AttemptResult(End.FAILED, f"the stream ended at position {stream.next_position}")
 
         resumable = not call.once_only
-        return await self._attempt(call, place, headers, body, relay, resumable)
+        return await self._attempt(call, candidate, headers, body, relay, resumable)
 
-    async def _try_whole(
-        self, call: ModelCall, place: Candidate, attempts: Attempts
-    ) -> tuple[AttemptEnd, WholeAnswer | None]:
-        headers = self._headers(call, place, attempts.count)
+    async def _try_complete(
+        self, call: ModelCall, candidate: Candidate, attempts: AttemptHistory
+    ) -> tuple[AttemptResult, CompleteResponse | None]:
+        headers = self._headers(call, candidate, attempts.count)
         expected_id = f"{call.request_id}/{attempts.count}"
-        answers: list[WholeAnswer] = []
+        answers: list[CompleteResponse] = []
 
-        async def read(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptEnd:
+        async def read(response: aiohttp.ClientResponse, active: ActiveAttempt) -> AttemptResult:
             body = await read_bounded(response, self._answer_bytes)
             if response.headers.get("x-request-id") != expected_id:
                 self.metrics.foreign_events += 1
-                return AttemptEnd(End.FAILED, "the answer is to another request")
+                return AttemptResult(End.FAILED, "the answer is to another request")
             try:
                 json.loads(body)
             except ValueError:
-                return AttemptEnd(End.FAILED, "the answer is not JSON")
-            answers.append(WholeAnswer(200, "application/json", body))
-            return AttemptEnd(End.DONE, "complete")
+                return AttemptResult(End.FAILED, "the answer is not JSON")
+            answers.append(CompleteResponse(200, "application/json", body))
+            return AttemptResult(End.DONE, "complete")
 
-        end = await self._attempt(call, place, headers, call.body, read, resumable=False)
-        return end, answers[0] if answers else None
+        result = await self._attempt(call, candidate, headers, call.body, read, resumable=False)
+        return result, answers[0] if answers else None
 
-    async def _attempt(self, call, place, headers, body, consume, resumable: bool) -> AttemptEnd:
+    async def _attempt(
+        self, call, candidate, headers, body, consume, resumable: bool
+    ) -> AttemptResult:
         """Send the request once and let ``consume`` read the answer."""
         self.metrics.attempts += 1
         timeout = asyncio.timeout(None)
         active = ActiveAttempt(
             call.request_id,
-            place.replica,
-            place.epoch,
+            candidate.replica,
+            candidate.epoch,
             call.deadline,
             self._clock.now(),
             timeout,
@@ -291,74 +312,80 @@
         self._active.add(active)
         try:
             async with timeout:
-                url = place.address.url + call.path
+                url = candidate.address.url + call.path
                 async with self._session.post(url, data=body, headers=headers) as response:
-                    end = judge_head(response)
-                    return end or await consume(response, active)
+                    result = check_response_status(response)
+                    return result or await consume(response, active)
         except NOT_SENT_ERRORS as error:
-            return AttemptEnd(End.NOT_SENT, f"{place.replica} was not reached: {error}")
+            return AttemptResult(End.NOT_SENT, f"{candidate.replica} was not reached: {error}")
         except TimeoutError as error:
             # Before OSError, which it is a kind of: the sweep ends attempts so.
-            return active.ended_by or AttemptEnd(End.FAILED, f"timed out: {error}")
+            return active.abort_result or AttemptResult(End.FAILED, f"timed out: {error}")
         except (*SENT_ERRORS, StreamError) as error:
-            return AttemptEnd(End.FAILED, f"{type(error).__name__}: {error}")
+            return AttemptResult(End.FAILED, f"{type(error).__name__}: {error}")
         finally:
             self._active.discard(active)
 
     # What follows an attempt.
 
-    def _after_attempt(
+    def _handle_attempt_result(
         self,
         call: ModelCall,
-        place: Candidate,
-        attempts: Attempts,
-        end: AttemptEnd,
+        candidate: Candidate,
+        attempts: AttemptHistory,
+        result: AttemptResult,
         stream: OrderedStream | None,
     ) -> None:
         """Note the end; raise the final error unless another attempt may follow."""
-        failed = end.is_failure
-        self._journal.note(call.story, f"attempt {attempts.count} ended: {end.end}, {end.reason}")
+        failed = result.is_failure
+        self._journal.note(
+            call.trace, f"attempt {attempts.count} ended: {result.result}, {result.reason}"
+        )
         if not failed:
-            if end.end is End.MOVED:
-                attempts.note(place.replica, end)
+            if result.result is End.MOVED:
+                attempts.note(candidate.replica, result)
             return
-        attempts.note(place.replica, end)
+        attempts.note(candidate.replica, result)
         self._log.event(
             "attempt_failed",
             request=call.request_id,
-            replica=place.replica,
-            end=str(end.end),
-            reason=end.reason,
+            replica=candidate.replica,
+            result=str(result.result),
+            reason=result.reason,
         )
-        refusal = self._why_no_retry(call, attempts, end, stream)
+        refusal = self._retry_refusal(call, attempts, result, stream)
         if refusal is not None:
-            self._journal.note(call.story, f"given up: {refusal}")
-            raise self._final(call, attempts, None, f"{end.reason}; {refusal}")
+            self._journal.note(call.trace, f"given up: {refusal}")
+            raise self._final_error(call, attempts, None, f"{result.reason}; {refusal}")
         self.metrics.retries += 1
 
-    def _why_no_retry(
-        self, call: ModelCall, attempts: Attempts, end: AttemptEnd, stream: OrderedStream | None
+    def _retry_refusal(
+        self,
+        call: ModelCall,
+        attempts: AttemptHistory,
+        result: AttemptResult,
+        stream: OrderedStream | None,
     ) -> str | None:
         if attempts.count >= MAX_ATTEMPTS:
             return f"{attempts.count} attempts were made"
         if self._clock.now() >= call.deadline:
             return "its deadline has passed"
-        if end.end is End.NOT_SENT:
+        if result.result is End.NOT_SENT:
             return None
-        if call.once_only and end.may_have_run:
+        if call.once_only and result.may_have_run:
             return "it may run at most once"
         if stream is not None and stream.next_position and stream.delivered_text() is None:
             return "too much was delivered to resume elsewhere"
-        if end.end is End.LOST:
+        if result.result is End.LOST:
             return None
         if not self._budget.try_spend():
             return "the retry budget is spent"
         return None
 
-    def _final(
+    def _final_error(
         self,
         call: ModelCall,
-        attempts: Attempts,
+        attempts: AttemptHistory,
         error: MulleinreachError | None,
         reason: str = "",
     ) -> MulleinreachError:
@@ -366,19 +393,23 @@
         if error is None:
             expired = self._clock.now() >= call.deadline
             code = Code.DEADLINE_EXCEEDED if expired else Code.UPSTREAM_FAILED
-            error = MulleinreachError(code, reason, retry_after_s=LOST_RETRY_AFTER_S)
-        error.ran = Ran.UNKNOWN if attempts.may_have_run else Ran.NOT_RUN
-        if error.ran is Ran.UNKNOWN and call.once_only:
+            error = MulleinreachError(code, reason, retry_after_s=DEFAULT_RETRY_AFTER_S)
+        error.ran = ExecutionStatus.UNKNOWN if attempts.may_have_run else ExecutionStatus.NOT_RUN
+        if error.ran is ExecutionStatus.UNKNOWN and call.once_only:
             error.retry_after_s = None
-        self._journal.note(call.story, f"told {error.code}, {error.ran}: {error.message}")
+        self._journal.note(call.trace, f"told {error.code}, {error.ran}: {error.message}")
         return error
 
-    async def _move_kv(self, call: ModelCall, source: Candidate | None, target: Candidate) -> None:
+    async def _transfer_kv_cache(
+        self, call: ModelCall, source: Candidate | None, target: Candidate
+    ) -> None:
         """Take the KV cache along when a stream moves; it is only a saving of time."""
         if source is None:
             return
         self.metrics.moves += 1
-        is_moved = await move_kv(self._session, source.address, target.address, call.request_id)
+        is_moved = await transfer_kv_cache(
+            self._session, source.address, target.address, call.request_id
+        )
         how = "with" if is_moved else "without"
         note = f"moved from {source.replica} to {target.replica} {how} its KV cache"
-        self._journal.note(call.story, note)
+        self._journal.note(call.trace, note)
--- a/mulleinreach/requests/stream.py
+++ b/mulleinreach/requests/stream.py
@@ -5,7 +5,7 @@
 
 An engine streams server-sent events. The ``id`` field of each is
 ``REQUEST/ATTEMPT:POSITION``, positions count from 0, and the event after the
-last token has the data ``[DONE]``. A stream is resumed with the standard's
+last token has the data ``[DONE_MARKER]``. A stream is resumed with the standard's
 ``Last-Event-ID``. Only the event at the next position is ever delivered: an
 event of another request or attempt is dropped, a later one waits, an earlier
 one is a duplicate. So a caller sees no gap, no doubling and no one else's text.
@@ -22,9 +22,9 @@
 import json
 from dataclasses import dataclass
 
-EVENT_END = b"\n\n"
-DONE = b"[DONE]"
-MAX_HELD_EVENTS = 256
+EVENT_SEPARATOR = b"\n\n"
+DONE_MARKER = b"[DONE]"
+MAX_BUFFERED_EVENTS = 256
 MAX_EVENT_BYTES = 262_144
 
 
@@ -69,14 +69,14 @@
     2
     """
 
-    def __init__(self, request_id: str, keep_bytes: int = 1_000_000):
+    def __init__(self, request_id: str, max_kept_bytes: int = 1_000_000):
         self._request_id = request_id
-        self._keep_bytes = keep_bytes
-        self._kept: list[bytes] = []
-        self._kept_size = 0
+        self._max_kept_bytes = max_kept_bytes
+        self._delivered_events: list[bytes] = []
+        self._delivered_bytes = 0
         self._prefix = b""
-        self._tail = b""
-        self._held: dict[int, bytes] = {}
+        self._partial_event = b""
+        self._buffered: dict[int, bytes] = {}
         self.next_position = 0
         self.is_done = False
         self.counts = StreamCounts()
@@ -84,53 +84,53 @@
     def begin_attempt(self, attempt: int) -> None:
         """Accept events of ``attempt`` only, from the next position on."""
         self._prefix = f"id: {self._request_id}/{attempt}:".encode()
-        self._tail = b""
-        self._held.clear()
+        self._partial_event = b""
+        self._buffered.clear()
 
     def feed(self, data: bytes) -> bytes:
         """Take what arrived; returns what is to be delivered, which may be nothing."""
-        is_plain = not self._tail and not self._held and data.endswith(EVENT_END)
-        if is_plain and data.count(EVENT_END) == 1:
+        is_plain = not self._partial_event and not self._buffered and data.endswith(EVENT_SEPARATOR)
+        if is_plain and data.count(EVENT_SEPARATOR) == 1:
             # The common case: one whole event, the next one.
             event = data[:-2]
             if event.startswith(b"%b%d\ndata: " % (self._prefix, self.next_position)):
                 self._deliver(event)
                 return data
-        return self._feed_slowly(data)
+        return self._parse_events(data)
 
-    def _feed_slowly(self, data: bytes) -> bytes:
-        *events, self._tail = (self._tail + data).split(EVENT_END)
-        if len(self._tail) > MAX_EVENT_BYTES:
+    def _parse_events(self, data: bytes) -> bytes:
+        *events, self._partial_event = (self._partial_event + data).split(EVENT_SEPARATOR)
+        if len(self._partial_event) > MAX_EVENT_BYTES:
             raise StreamError(StreamFault.GARBAGE, f"an event of over {MAX_EVENT_BYTES} bytes")
         delivered = []
         for event in events:
-            self._sort_in(event)
-            while not self.is_done and self.next_position in self._held:
-                ready = self._held.pop(self.next_position)
+            self._buffer_event(event)
+            while not self.is_done and self.next_position in self._buffered:
+                ready = self._buffered.pop(self.next_position)
                 self._deliver(ready)
-                delivered.append(ready + EVENT_END)
+                delivered.append(ready + EVENT_SEPARATOR)
         if self.is_done:
-            self._held.clear()
+            self._buffered.clear()
         return b"".join(delivered)
 
-    def _sort_in(self, event: bytes) -> None:
+    def _buffer_event(self, event: bytes) -> None:
         if not event.startswith(self._prefix):
-            self._refuse(event)
+            self._reject_event(event)
             return
         number, newline, rest = event[len(self._prefix) :].partition(b"\n")
         if not newline or not number.isdigit() or not rest.startswith(b"data: "):
             raise StreamError(StreamFault.GARBAGE, f"event {event[:80]!r}")
         position = int(number)
-        if position < self.next_position or position in self._held:
+        if position < self.next_position or position in self._buffered:
             self.counts.duplicates += 1
             return
         if position > self.next_position:
             self.counts.reordered += 1
-            if len(self._held) >= MAX_HELD_EVENTS:
+            if len(self._buffered) >= MAX_BUFFERED_EVENTS:
                 raise StreamError(StreamFault.GAP, f"position {self.next_position} never came")
-        self._held[position] = event
+        self._buffered[position] = event
 
-    def _refuse(self, event: bytes) -> None:
+    def _reject_event(self, event: bytes) -> None:
         """Drop an event of another request or attempt; refuse what is no event."""
         if event.startswith(b":") or not event.strip():
             return
@@ -142,24 +142,24 @@
 
     def _deliver(self, event: bytes) -> None:
         self.next_position += 1
-        if event.endswith(DONE) and event.endswith(b"\ndata: " + DONE):
+        if event.endswith(DONE_MARKER) and event.endswith(b"\ndata: " + DONE_MARKER):
             self.is_done = True
             return
-        self._kept_size += len(event)
-        if self._kept_size <= self._keep_bytes:
-            self._kept.append(event)
+        self._delivered_bytes += len(event)
+        if self._delivered_bytes <= self._max_kept_bytes:
+            self._delivered_events.append(event)
 
     def delivered_text(self) -> str | None:
         """Return the text that was delivered, or ``None`` if it was too long to keep."""
-        if self._kept_size > self._keep_bytes:
+        if self._delivered_bytes > self._max_kept_bytes:
             return None
         try:
-            return "".join(_text_of(event) for event in self._kept)
+            return "".join(_event_text(event) for event in self._delivered_events)
         except (ValueError, KeyError, IndexError, TypeError):
             return None
 
 
-def _text_of(event: bytes) -> str:
+def _event_text(event: bytes) -> str:
     _, _, data = event.partition(b"\ndata: ")
     choice = json.loads(data)["choices"][0]
     if "delta" in choice:
--- a/mulleinreach/requests/tests/test_stream.py
+++ b/mulleinreach/requests/tests/test_stream.py
@@ -101,7 +101,7 @@
 
 
 def test_text_that_is_too_long_to_keep_is_said_so():
-    stream = OrderedStream(REQUEST, keep_bytes=100)
+    stream = OrderedStream(REQUEST, max_kept_bytes=100)
     stream.begin_attempt(1)
     stream.feed(whole())
     assert stream.is_done
--- a/mulleinreach/roster/lease.py
+++ b/mulleinreach/roster/lease.py
@@ -65,9 +65,9 @@
         self._duration_s = duration_s
         self._rate_error = rate_error
         self._valid_until = NEVER
-        self._seen: Row | None = None
-        self._seen_at = NEVER
-        self._tokens = 0
+        self._observed_row: Row | None = None
+        self._observed_at = NEVER
+        self._token_count = 0
         self.epoch = 0
 
     def is_held(self) -> bool:
@@ -82,29 +82,29 @@
     async def tick(self) -> None:
         """Renew, take or leave alone; call this a few times each duration."""
         row = self._cache.get(self.key)
-        if self._seen is None or row.version != self._seen.version:
-            self._seen = row
-            self._seen_at = self._clock.now()
+        if self._observed_row is None or row.version != self._observed_row.version:
+            self._observed_row = row
+            self._observed_at = self._clock.now()
         if self.is_held():
             if self._valid_until - self._clock.now() < self._duration_s * 2 / 3:
                 await self._write(row, self.epoch)
             return
-        if self._may_take(row):
+        if self._can_acquire(row):
             await self._write(row, (row.value["epoch"] if row.value else 0) + 1)
 
-    def _may_take(self, row: Row) -> bool:
+    def _can_acquire(self, row: Row) -> bool:
         if not self._cache.was_read:
             return False
         if row.value is None:
             return True
-        unchanged_s = self._clock.now() - self._seen_at
+        unchanged_s = self._clock.now() - self._observed_at
         return unchanged_s > row.value["duration_s"] * (1 + self._rate_error)
 
     async def _write(self, row: Row, epoch: int) -> None:
-        self._tokens += 1
-        token = f"{self._incarnation}.{self._tokens}"
+        self._token_count += 1
+        token = f"{self._incarnation}.{self._token_count}"
         record = LeaseRecord(self._node, self._incarnation, epoch, token, self._duration_s)
-        asked_at = self._clock.now()
+        sent_at = self._clock.now()
         result = await self._table.transact(
             [Condition(self.key, row.version)], [Write(self.key, record.__dict__)]
         )
@@ -112,18 +112,18 @@
         if isinstance(result, Unresolved):
             written = await self._was_written(token)
         if written:
-            self._take(epoch, asked_at)
+            self._record_acquisition(epoch, sent_at)
         await self._cache.refresh()
 
     async def _was_written(self, token: str) -> bool:
         row = await self._table.get(self.key)
         return isinstance(row, Row) and row.value is not None and row.value["token"] == token
 
-    def _take(self, epoch: int, asked_at: float) -> None:
+    def _record_acquisition(self, epoch: int, sent_at: float) -> None:
         if epoch != self.epoch:
             self._log.event("lease_taken", duty=self.duty, epoch=epoch)
         self.epoch = epoch
-        self._valid_until = asked_at + self._duration_s * (1 - self._rate_error)
+        self._valid_until = sent_at + self._duration_s * (1 - self._rate_error)
 
     async def release(self) -> None:
         """Give the lease up, so that another node takes it without waiting."""
@@ -131,6 +131,8 @@
             return
         self._valid_until = NEVER
         row = self._cache.get(self.key)
-        freed = {**row.value, "duration_s": 0.0, "token": f"{self._incarnation}.released"}
-        await self._table.transact([Condition(self.key, row.version)], [Write(self.key, freed)])
+        released_row = {**row.value, "duration_s": 0.0, "token": f"{self._incarnation}.released"}
+        await self._table.transact(
+            [Condition(self.key, row.version)], [Write(self.key, released_row)]
+        )
         self._log.event("lease_released", duty=self.duty, epoch=self.epoch)
--- a/mulleinreach/roster/messages.py
+++ b/mulleinreach/roster/messages.py
@@ -120,7 +120,7 @@
 
 Message = Hello | Proof | Ping | Pong | Withdrawal | ConfigPush
 
-_NAMES: dict[type, str] = {
+_MESSAGE_NAMES: dict[type, str] = {
     Hello: "hello",
     Proof: "proof",
     Ping: "ping",
@@ -128,24 +128,24 @@
     Withdrawal: "withdrawal",
     ConfigPush: "config",
 }
-_TYPES = {name: kind for kind, name in _NAMES.items()}
-_ITEMS = {
+_MESSAGE_TYPES = {name: message_type for message_type, name in _MESSAGE_NAMES.items()}
+_STRUCT_LIST_FIELDS = {
     "demands": Demand,
     "grants": Grant,
 }
-_TEXT_LISTS = {"leaving_hosts"}
+_TEXT_LIST_FIELDS = {"leaving_hosts"}
 # Sent a column a field: one call for each column costs less than one for each value.
-_COLUMNS = {"replicas": ReplicaReport, "hosts": HostReport}
+_COLUMNAR_FIELDS = {"replicas": ReplicaReport, "hosts": HostReport}
 
 
-def _camel(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     head, *rest = name.split("_")
     return head + "".join(part.capitalize() for part in rest)
 
 
-_FIELDS = {
-    kind: [(f.name, _camel(f.name)) for f in fields(kind)]
-    for kind in [*_NAMES, *_ITEMS.values(), *_COLUMNS.values()]
+_FIELD_NAMES = {
+    message_type: [(f.name, _to_camel_case(f.name)) for f in fields(message_type)]
+    for message_type in [*_MESSAGE_NAMES, *_STRUCT_LIST_FIELDS.values(), *_COLUMNAR_FIELDS.values()]
 }
 
 
@@ -159,41 +159,41 @@
     Withdrawal(replica='r1', epoch=3, reason='host lost')
     """
     envelope = _schema.Envelope.new_message()
-    _fill(envelope.init(_NAMES[type(message)]), message)
+    _write_struct(envelope.init(_MESSAGE_NAMES[type(message)]), message)
     return envelope.to_bytes_packed()
 
 
-def _fill(builder, value) -> None:
-    for name, camel in _FIELDS[type(value)]:
-        content = getattr(value, name)
-        if name in _COLUMNS:
-            _fill_columns(builder.init(camel), _COLUMNS[name], content)
+def _write_struct(builder, value) -> None:
+    for name, wire_name in _FIELD_NAMES[type(value)]:
+        field_value = getattr(value, name)
+        if name in _COLUMNAR_FIELDS:
+            _write_columns(builder.init(wire_name), _COLUMNAR_FIELDS[name], field_value)
             continue
-        if name not in _ITEMS:
-            setattr(builder, camel, content)
+        if name not in _STRUCT_LIST_FIELDS:
+            setattr(builder, wire_name, field_value)
             continue
-        items = builder.init(camel, len(content))
-        for index, item in enumerate(content):
-            _fill(items[index], item)
+        items = builder.init(wire_name, len(field_value))
+        for index, item in enumerate(field_value):
+            _write_struct(items[index], item)
 
 
-def _fill_columns(builder, kind: type, rows: list) -> None:
+def _write_columns(builder, message_type: type, rows: list) -> None:
     if not rows:
         return
-    for name, camel in _FIELDS[kind]:
-        setattr(builder, camel, [getattr(row, name) for row in rows])
+    for name, wire_name in _FIELD_NAMES[message_type]:
+        setattr(builder, wire_name, [getattr(row, name) for row in rows])
 
 
-def _read_columns(kind: type, reader) -> list:
+def _read_columns(message_type: type, reader) -> list:
     """Return the rows; a message whose columns differ in length is refused."""
-    names = [camel for _, camel in _FIELDS[kind]]
+    names = [wire_name for _, wire_name in _FIELD_NAMES[message_type]]
     if len(getattr(reader, names[0])) == 0:
         # Most answers carry no hosts: eight empty lists would cost as much as ten rows.
         return []
-    columns = [list(getattr(reader, camel)) for camel in names]
+    columns = [list(getattr(reader, wire_name)) for wire_name in names]
     if len({len(column) for column in columns}) > 1:
-        raise ValueError(f"columns of {kind.__name__} differ in length")
-    return [kind(*row) for row in zip(*columns, strict=True)]
+        raise ValueError(f"columns of {message_type.__name__} differ in length")
+    return [message_type(*row) for row in zip(*columns, strict=True)]
 
 
 def decode(packed: bytes) -> Message:
@@ -201,20 +201,20 @@
     try:
         envelope = _schema.Envelope.from_bytes_packed(packed)
         name = str(envelope.which)
-        return _read(_TYPES[name], getattr(envelope, name))
+        return _read_struct(_MESSAGE_TYPES[name], getattr(envelope, name))
     except (capnp.KjException, KeyError, UnicodeDecodeError) as error:
         raise ValueError(f"{len(packed)} bytes are not a message: {error}") from error
 
 
-def _read(kind: type, reader):
+def _read_struct(message_type: type, reader):
     values = {}
-    for name, camel in _FIELDS[kind]:
-        content = getattr(reader, camel)
-        if name in _COLUMNS:
-            content = _read_columns(_COLUMNS[name], content)
-        elif name in _ITEMS:
-            content = [_read(_ITEMS[name], item) for item in content]
-        elif name in _TEXT_LISTS:
-            content = list(content)
-        values[name] = content
-    return kind(**values)
+    for name, wire_name in _FIELD_NAMES[message_type]:
+        field_value = getattr(reader, wire_name)
+        if name in _COLUMNAR_FIELDS:
+            field_value = _read_columns(_COLUMNAR_FIELDS[name], field_value)
+        elif name in _STRUCT_LIST_FIELDS:
+            field_value = [_read_struct(_STRUCT_LIST_FIELDS[name], item) for item in field_value]
+        elif name in _TEXT_LIST_FIELDS:
+            field_value = list(field_value)
+        values[name] = field_value
+    return message_type(**values)
--- a/mulleinreach/roster/roster.py
+++ b/mulleinreach/roster/roster.py
@@ -31,7 +31,7 @@
 )
 
 NODES_PREFIX = "state/nodes/"
-RECONNECT_S = 0.5
+RECONNECT_DELAY_S = 0.5
 NEVER = float("-inf")
 
 
@@ -119,7 +119,7 @@
         self.peers: dict[str, PeerState] = {}
         self.bytes_sent = 0
         self.bytes_received = 0
-        cache.listeners.append(self._follow_table)
+        cache.listeners.append(self._update_peers)
 
     async def start(self) -> None:
         """Listen for peers and keep our own row in the table."""
@@ -147,12 +147,12 @@
                 if isinstance(result, Committed | Unresolved):
                     self._log.event("node_registered", incarnation=self.own.incarnation)
                 continue
-            await asyncio.sleep(RECONNECT_S if row.value != value else 10.0)
+            await asyncio.sleep(RECONNECT_DELAY_S if row.value != value else 10.0)
 
-    def _follow_table(self) -> None:
+    def _update_peers(self) -> None:
         """Start and end peer tasks so that they fit the rows in the table."""
         listed = {}
-        for row in self._cache.under(NODES_PREFIX):
+        for row in self._cache.rows_with_prefix(NODES_PREFIX):
             record = NodeRecord.from_row(row)
             if record.name != self.own.name and not self._directory.is_gone(record.name):
                 listed[record.name] = record
@@ -163,16 +163,18 @@
         for name, record in listed.items():
             if name not in self.peers:
                 self.peers[name] = PeerState(record)
-                self._peer_tasks[name] = self._tasks.spawn(self._talk_to(self.peers[name]))
+                self._peer_tasks[name] = self._tasks.spawn(
+                    self._maintain_connection(self.peers[name])
+                )
 
-    async def _talk_to(self, peer: PeerState) -> None:
+    async def _maintain_connection(self, peer: PeerState) -> None:
         """Keep a connection to one peer, pinging it, for as long as it is listed."""
         while True:
             try:
                 await self._ping_until_broken(peer)
             except (LinkError, OSError, TimeoutError) as error:
                 self._log.event("peer_unreachable", peer=peer.record.name, reason=error)
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _ping_until_broken(self, peer: PeerState) -> None:
         reader, writer = await self._network.connect(Address.parse(peer.record.address))
@@ -211,7 +213,7 @@
             message = await link.receive()
             if isinstance(message, Pong) and message.seq == seq:
                 return message
-            self._take_push(peer.record.name, message)
+            self._handle_push(peer.record.name, message)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Answer the pings of one peer that connected to us."""
@@ -232,14 +234,14 @@
 
     async def _answer(self, peer: str, link: Link, message: Message) -> None:
         if not isinstance(message, Ping):
-            self._take_push(peer, message)
+            self._handle_push(peer, message)
             return
         push = self._protocol.config_for(message.config_version)
         if push is not None:
             await link.send(push)
         await link.send(self._protocol.make_pong(peer, message))
 
-    def _take_push(self, peer: str, message: Message) -> None:
+    def _handle_push(self, peer: str, message: Message) -> None:
         if isinstance(message, ConfigPush):
             self._protocol.on_config(message)
         elif isinstance(message, Withdrawal):
@@ -254,11 +256,11 @@
                 except OSError:
                     continue
 
-    def names(self) -> list[str]:
+    def node_names(self) -> list[str]:
         """Return the names of all nodes that are listed, ours among them, in order."""
         return sorted([self.own.name, *self.peers])
 
-    def live_names(self) -> list[str]:
+    def live_node_names(self) -> list[str]:
         """Return the names of the nodes that answered lately, ours among them."""
         now = self._clock.now()
         live = [n for n, p in self.peers.items() if now - p.answered_at < self._fresh_s]
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -10,11 +10,11 @@
 from mulleinreach.groups.watch import ReplicaHealthTracker, ReplicaStatus
 from mulleinreach.stores import HostDirectory, TableCache
 
-EJECT_MIN_S = 0.5
-EJECT_MAX_S = 10.0
+MIN_EJECTION_S = 0.5
+MAX_EJECTION_S = 10.0
 FAILURES_TO_EJECT = 3
 DEFAULT_SLOTS = 8
-QUEUE_FACTOR = 1.25
+MAX_LOAD_FACTOR = 1.25
 
 
 @dataclass
@@ -65,7 +65,7 @@
     nodes: int = 1
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether the replica may be sent one more.
 
         Explanation
@@ -74,8 +74,8 @@
         Reports lag, so a node may see a replica full of the work of others that
         has ended since. Its fair part of the places it may use all the same.
         """
-        places = self.slots * QUEUE_FACTOR
-        return self.load < places or self.in_flight < places / self.nodes
+        max_load = self.slots * MAX_LOAD_FACTOR
+        return self.load < max_load or self.in_flight < max_load / self.nodes
 
 
 class ReplicaTable:
@@ -85,13 +85,13 @@
         self,
         cache: TableCache,
         directory: HostDirectory,
-        wholeness: ReplicaHealthTracker,
+        health: ReplicaHealthTracker,
         clock: Clock,
         leaving_hosts: Callable[[], set[str]],
         count_nodes: Callable[[], int],
     ):
         self._directory = directory
-        self._wholeness = wholeness
+        self._health = health
         self._clock = clock
         self._leaving_hosts = leaving_hosts
         self._count_nodes = count_nodes
@@ -100,21 +100,21 @@
         self._groups: dict[str, list[GroupRecord]] = {}
         self._by_epoch: dict[int, str] = {}
         self._loads: dict[str, ReplicaLoad] = {}
-        cache.listeners.append(self._follow_table)
+        cache.listeners.append(self._update_groups)
 
-    def _follow_table(self) -> None:
+    def _update_groups(self) -> None:
         if self.changes == self._cache.changes:
             return
         self.changes = self._cache.changes
         self._groups = {}
         self._by_epoch = {}
         names = set()
-        for row in self._cache.under(GROUPS_PREFIX):
+        for row in self._cache.rows_with_prefix(GROUPS_PREFIX):
             group = GroupRecord.from_row(row)
             names.add(group.replica)
             self._groups.setdefault(group.service, []).append(group)
             self._by_epoch[group.epoch] = group.replica
-        self._wholeness.keep_only(names)
+        self._health.keep_only(names)
         for name in list(self._loads):
             if name not in names and self._loads[name].in_flight == 0:
                 del self._loads[name]
@@ -151,8 +151,8 @@
             return "it is draining"
         if not leaving.isdisjoint(group.hosts):
             return f"{', '.join(sorted(leaving.intersection(group.hosts)))} is leaving"
-        if not self._wholeness.is_whole(group.replica, group.epoch):
-            age = self._wholeness.age_s(group.replica)
+        if not self._health.is_whole(group.replica, group.epoch):
+            age = self._health.age_s(group.replica)
             return f"not known to be whole in epoch {group.epoch} (last confirmed {age:.1f} s ago)"
         if self._directory.get(group.head) is None:
             return f"the address of {group.head} is not known"
@@ -161,7 +161,7 @@
         return None
 
     def _candidate(self, group: GroupRecord, nodes: int) -> Candidate:
-        evidence = self._wholeness.evidence(group.replica)
+        evidence = self._health.evidence(group.replica)
         load = self.load_of(group.replica)
         head = self._directory.get(group.head)
         return Candidate(
@@ -188,5 +188,5 @@
         load.failures += 1
         if load.failures >= FAILURES_TO_EJECT:
             doublings = load.failures - FAILURES_TO_EJECT
-            pause_s = min(EJECT_MAX_S, EJECT_MIN_S * 2 ** min(doublings, 10))
-            load.ejected_until = self._clock.now() + pause_s
+            ejection_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** min(doublings, 10))
+            load.ejected_until = self._clock.now() + ejection_s
--- a/mulleinreach/routing/router.py
+++ b/mulleinreach/routing/router.py
@@ -5,8 +5,8 @@
 
 Requests of a conversation share the beginning of their prompts, and rendezvous
 hashing ranks the replicas for each conversation, the same at every node. The
-request goes to the first in that ranking that is not over the bound: ``BUSY`` of
-its slots, or ``EXCESS`` above the mean load of all, whichever is more. So a
+request goes to the first in that ranking that is not over the bound: ``MIN_LOAD_BOUND`` of
+its slots, or ``MAX_EXCESS_LOAD`` above the mean load of all, whichever is more. So a
 conversation that spills goes to the same second choice each time, and nodes
 that share reports which lag do not all run to the same least loaded replica.
 A request without a key goes to the less loaded of two at random, for the same
@@ -29,8 +29,8 @@
 from mulleinreach.common import rendezvous_rank
 from mulleinreach.routing.replicas import Candidate
 
-EXCESS = 0.25
-BUSY = 0.85
+MAX_EXCESS_LOAD = 0.25
+MIN_LOAD_BOUND = 0.85
 
 
 @dataclass(frozen=True)
@@ -56,38 +56,38 @@
         candidates : all replicas that may be sent work, full ones too.
         key : what should stay together; empty for no preference.
         """
-        roomy = [candidate for candidate in candidates if candidate.has_room]
-        if not roomy:
+        available = [candidate for candidate in candidates if candidate.has_capacity]
+        if not available:
             return None
-        if not key or len(roomy) == 1:
-            return self._choose_of_two(roomy)
-        return self._walk_ranking(candidates, roomy, key)
+        if not key or len(available) == 1:
+            return self._choose_of_two(available)
+        return self._choose_by_rank(candidates, available, key)
 
-    def _choose_of_two(self, roomy: list[Candidate]) -> Choice:
-        two = roomy if len(roomy) == 1 else self._rng.sample(roomy, 2)
+    def _choose_of_two(self, available: list[Candidate]) -> Choice:
+        two = available if len(available) == 1 else self._rng.sample(available, 2)
         least = min(two, key=lambda c: c.load / c.slots)
         return Choice(least, f"less loaded of {len(two)} at random ({least.load:.0f})")
 
-    def _walk_ranking(
-        self, candidates: list[Candidate], roomy: list[Candidate], key: str
+    def _choose_by_rank(
+        self, candidates: list[Candidate], available: list[Candidate], key: str
     ) -> Choice:
         mean = sum(c.load / c.slots for c in candidates) / len(candidates)
-        bound = max(BUSY, (1 + EXCESS) * mean)
-        by_name = {c.replica: c for c in roomy}
-        passed = []
+        bound = max(MIN_LOAD_BOUND, (1 + MAX_EXCESS_LOAD) * mean)
+        by_name = {c.replica: c for c in available}
+        skipped = []
         for name in rendezvous_rank(key, by_name):
             candidate = by_name[name]
             if candidate.load <= bound * candidate.slots:
-                return Choice(candidate, _explain(candidate, passed, bound))
-            passed.append(candidate)
-        least = min(passed, key=lambda c: c.load / c.slots)
+                return Choice(candidate, _explain(candidate, skipped, bound))
+            skipped.append(candidate)
+        least = min(skipped, key=lambda c: c.load / c.slots)
         return Choice(least, f"all are over the bound of {bound:.0%}; least loaded")
 
 
-def _explain(candidate: Candidate, passed: list[Candidate], bound: float) -> str:
+def _explain(candidate: Candidate, skipped: list[Candidate], bound: float) -> str:
     """Say which place in the conversation's ranking the choice has, and why not before."""
     load = f"load {candidate.load:.0f} of {candidate.slots}, bound {bound:.0%}"
-    if not passed:
+    if not skipped:
         return f"first choice of its conversation ({load})"
-    names = ", ".join(f"{c.replica} with {c.load:.0f}" for c in passed)
-    return f"choice {len(passed) + 1} of its conversation ({load}); over it: {names}"
+    names = ", ".join(f"{c.replica} with {c.load:.0f}" for c in skipped)
+    return f"choice {len(skipped) + 1} of its conversation ({load}); over it: {names}"
--- a/mulleinreach/routing/tests/test_router.py
+++ b/mulleinreach/routing/tests/test_router.py
@@ -49,8 +49,8 @@
 
 def test_a_node_may_use_its_fair_part_of_a_replica_that_reports_show_full():
     reported = Candidate("r0", 1, ADDRESS, load=20, slots=16, in_flight=6, nodes=3)
-    assert reported.has_room
-    assert not Candidate("r0", 1, ADDRESS, load=20, slots=16, in_flight=7, nodes=3).has_room
+    assert reported.has_capacity
+    assert not Candidate("r0", 1, ADDRESS, load=20, slots=16, in_flight=7, nodes=3).has_capacity
 
 
 def test_a_replica_that_goes_moves_only_its_own_conversations():
--- a/mulleinreach/settings/model.py
+++ b/mulleinreach/settings/model.py
@@ -14,7 +14,7 @@
 Sha256 = Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
 
 
-class Strict(BaseModel):
+class StrictModel(BaseModel):
     """A part of a settings file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
@@ -25,7 +25,7 @@
     return text
 
 
-class NodeIdentity(Strict):
+class NodeIdentity(StrictModel):
     """Which node this is and where it stands."""
 
     name: Name
@@ -33,7 +33,7 @@
     region: Name
 
 
-class ListenSettings(Strict):
+class ListenSettings(StrictModel):
     """The three addresses a node listens on, each ``host:port``."""
 
     callers: str
@@ -43,7 +43,7 @@
     _check = field_validator("callers", "operators", "peers")(_check_address)
 
 
-class PlatformSettings(Strict):
+class PlatformSettings(StrictModel):
     """Addresses of the platform's services, each ``host:port``."""
 
     table: str
@@ -53,7 +53,7 @@
     _check = field_validator("table", "objects", "host_list")(_check_address)
 
 
-class OperatorSettings(Strict):
+class OperatorSettings(StrictModel):
     """One operator: a role and the SHA-256 of the bearer token, in hexadecimal."""
 
     name: Name
@@ -61,7 +61,7 @@
     token_sha256: Sha256
 
 
-class PeerKeySettings(Strict):
+class PeerKeySettings(StrictModel):
     """A key shared by all nodes: where its secret is read from.
 
     Explanation
@@ -78,13 +78,13 @@
 
     def read_secret(self) -> bytes:
         """Return the secret; raises ``KeyError`` or ``OSError`` if it isn't there."""
-        kind, _, place = self.secret.partition(":")
+        kind, _, location = self.secret.partition(":")
         if kind == "env":
-            return os.environ[place].encode()
-        return Path(place).read_bytes().strip()
+            return os.environ[location].encode()
+        return Path(location).read_bytes().strip()
 
 
-class TimingSettings(Strict):
+class TimingSettings(StrictModel):
     """Intervals and lifetimes, in seconds. Every node must use the same."""
 
     table_poll_s: float = Field(0.5, gt=0, le=10)
@@ -102,7 +102,7 @@
     token_gap_s: float = Field(5.0, gt=0, le=600)
 
 
-class LimitSettings(Strict):
+class LimitSettings(StrictModel):
     """Bounds on what callers may send and on what a node keeps."""
 
     body_bytes: int = Field(4_000_000, ge=1024, le=64_000_000)
@@ -113,7 +113,7 @@
     explained_requests: int = Field(10_000, ge=10, le=1_000_000)
 
 
-class EngineSettings(Strict):
+class EngineSettings(StrictModel):
     """What is known about the model engines of this deployment.
 
     Explanation
@@ -130,7 +130,7 @@
     host_load_s: float = Field(60.0, gt=0, le=7200)
 
 
-class NodeSettings(Strict):
+class NodeSettings(StrictModel):
     """The whole settings file of one node."""
 
     kind: Literal["node"]
--- a/mulleinreach/stores/cache.py
+++ b/mulleinreach/stores/cache.py
@@ -13,7 +13,7 @@
 
 
 class TableCache:
-    """The rows under ``state/``, brought up to date by reads of what changed.
+    """The rows rows_with_prefix ``state/``, brought up to date by reads of what changed.
 
     Explanation
     ===========
@@ -39,12 +39,12 @@
     async def refresh(self) -> bool:
         """Read what changed; returns whether the table answered."""
         async with self._lock:
-            asked_at = self._clock.now()
+            sent_at = self._clock.now()
             snapshot = await self._table.read(self._prefix, self._revision)
             if not isinstance(snapshot, Snapshot):
                 return False
             self._apply(snapshot)
-            self.read_at = asked_at
+            self.read_at = sent_at
         for listener in self.listeners:
             listener()
         return True
@@ -68,7 +68,7 @@
         """Return the row ``key`` as last read; an absent one has version 0."""
         return self._rows.get(key) or Row(key, ABSENT, None)
 
-    def under(self, prefix: str) -> list[Row]:
+    def rows_with_prefix(self, prefix: str) -> list[Row]:
         """Return the rows whose key starts with ``prefix``, in key order."""
         keys = sorted(key for key in self._rows if key.startswith(prefix))
         return [self._rows[key] for key in keys]
--- a/mulleinreach/stores/hostlist.py
+++ b/mulleinreach/stores/hostlist.py
@@ -104,11 +104,11 @@
             if name in fresh:
                 self._missing.pop(name, None)
             else:
-                self._count_missing(name)
+                self._record_missing(name)
         self._hosts.update(fresh)
         self.reads += 1
 
-    def _count_missing(self, name: str) -> None:
+    def _record_missing(self, name: str) -> None:
         self._missing[name] = self._missing.get(name, 0) + 1
         if self._missing[name] >= self.GONE_AFTER_READS:
             host = self._hosts[name]
@@ -135,7 +135,7 @@
         hosts = [h for h in self._hosts.values() if h.kind is kind]
         return sorted((h for h in hosts if h.state is not HostState.GONE), key=lambda h: h.name)
 
-    def plain_service(self, service: str) -> list[Host]:
+    def live_plain_hosts(self, service: str) -> list[Host]:
         """Return the live hosts of a plain service; leaving ones get no new work."""
         hosts = self.of_kind(HostKind.PLAIN)
         return [h for h in hosts if h.service == service and h.state is HostState.LIVE]
--- a/tests/test_promise_4_not_run.py
+++ b/tests/test_promise_4_not_run.py
@@ -135,7 +135,7 @@
         refuse_requests(d)
         reply = await model(d)
         assert reply.error["ran"] == "not_run"
-        request_id = next(iter(d.nodes[0].journal._stories))
+        request_id = next(iter(d.nodes[0].journal._traces))
         told = await d.operator.request(d.nodes[0], "GET", f"/explain/request/{request_id}")
         assert reply.error["code"] in told.json["lines"][-1]
         assert "not_run" in told.json["lines"][-1]
--- a/tests/test_promise_8_configuration.py
+++ b/tests/test_promise_8_configuration.py
@@ -141,9 +141,9 @@
         holder.voters._held_since -= 700
         holder.roster.peers[gone].answered_at -= 700
         await asyncio.sleep(45)
-        assert gone not in holder.roster.names()
+        assert gone not in holder.roster.node_names()
         node = await d.world.start_node(gone)
-        await d.world.until(lambda: gone in holder.roster.live_names(), 20)
+        await d.world.until(lambda: gone in holder.roster.live_node_names(), 20)
         assert node.force.is_fresh()
 
     run_deployed(scenario)
