--- a/mulleinreach/platform/__init__.py
+++ b/mulleinreach/platform/__init__.py
@@ -1,8 +1,5 @@
-"""Translates between the gateway's ports and the users' platform, and decides nothing.
+"""Adapter that implements the gateway's ports on the users' platform.
 
-Explanation
-===========
-
-The name stands in the package ``mulleinreach``, so that it doesn't hide the
-standard library's module ``platform``.
+It only translates; all decisions are made in the gateway. As a subpackage of ``mulleinreach``
+it doesn't shadow the standard library's module ``platform``.
 """
--- a/mulleinreach/platform/__main__.py
+++ b/mulleinreach/platform/__main__.py
@@ -8,9 +8,8 @@
 def start() -> None:
     """Listen for callers, then import and run the node.
 
-    The platform speaks plain HTTP. When it is imported, aiohttp reads the machine's
-    whole list of certificate authorities, twice, which takes a fifth of a node's time
-    to start; so it is given an empty one.
+    On import, aiohttp loads the system's certificate authorities, which slows the start. The
+    platform uses plain HTTP and needs none, so the certificate paths are set to an empty file.
     """
     path = os.environ.get(SETTINGS_VARIABLE, "")
     listener = listen_for_callers(path)
--- a/mulleinreach/platform/configuration.py
+++ b/mulleinreach/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Translates the operator's configuration."""
+"""Parses the operator's configuration document."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def parse_configuration(document: dict) -> Configuration:
-    """Return a configuration; raises ``KeyError``, ``TypeError`` or ``ValueError``."""
+    """Return the parsed configuration; raises ``KeyError``, ``TypeError`` or ``ValueError``."""
     services = [_parse_service(raw) for raw in document.get("services", [])]
     tenants = document.get("tenants")
     return Configuration(
@@ -51,7 +51,7 @@
 
 
 def _parse_allowed_regions(raw: dict) -> frozenset[str] | None:
-    """Return the regions that a route or an organisation is bound to."""
+    """Return the regions that a route or an organisation may use, ``None`` for all."""
     regions = raw.get("allowed_regions")
     return frozenset(str(region) for region in regions) if regions else None
 
--- a/mulleinreach/platform/dialect.py
+++ b/mulleinreach/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's names of headers, towards callers and replicas."""
+"""HTTP headers that the platform uses between callers, gateway and replicas."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class PlatformDialect:
-    """Reads callers' headers and writes those for replicas."""
+    """Reads the headers of callers and replicas, and builds those that the gateway sends."""
 
     ready_path = "/mulleinreach/ready"
 
     def read_request(self, headers: CIMultiDictProxy[str]) -> CallerHeaders:
-        """Return what a request's headers say.
+        """Return the values of a caller's request headers.
 
         Examples
         ========
@@ -78,25 +78,25 @@
         return forwarded
 
     def was_refused(self, status: int, headers: CIMultiDictProxy[str]) -> bool:
-        """Whether the replica says that it didn't run the request."""
+        """Whether the replica reports that it didn't execute the request."""
         return NOT_EXECUTED in headers or status == HTTPStatus.MISDIRECTED_REQUEST
 
     def read_notice(self, status: int, headers: CIMultiDictProxy[str]) -> Notice:
-        """Return what an answer says of the replica that gave it.
+        """Return the notice in a response's headers.
 
-        Only an answer to a request that was run shows by its silence that a limit has ended.
+        A missing limit header lifts the limit only if the request was executed.
         """
         absent_means_unlimited = REQUEST_ID in headers and not self.was_refused(status, headers)
         return read_notice(status, headers, math.inf if absent_means_unlimited else None)
 
     def belongs_to(self, headers: CIMultiDictProxy[str], request_id: str | None) -> bool:
-        """Whether an answer echoes the request's id."""
+        """Whether a response echoes the request's id."""
         return request_id is None or headers.get(REQUEST_ID) == request_id
 
     def is_signed(self, headers: CIMultiDictProxy[str]) -> bool:
-        """Whether an answer carries the replica's signature."""
+        """Whether a response carries the replica's signature."""
         return SIGNATURE in headers
 
     def refusal_headers(self, request_id: str | None) -> CIMultiDict[str]:
-        """Return the headers of an answer that the gateway makes itself."""
+        """Return the headers of a response that the gateway itself generates."""
         return CIMultiDict({} if request_id is None else {REQUEST_ID: request_id})
--- a/mulleinreach/platform/early.py
+++ b/mulleinreach/platform/early.py
@@ -1,13 +1,8 @@
 """Listens for callers before the rest of the program is imported.
 
-Explanation
-===========
-
-Most of the time from a node's start to its first answer goes into imports. After a
-fault that struck all nodes, callers would find nobody listening for that long, and
-most try only once more. A connection that is taken at once waits for the node instead.
-This module imports nothing but the standard library, and what it can't read is left
-to the check of the settings.
+Imports take most of a node's start. Connections made meanwhile wait in the socket's backlog
+instead of being refused. This module imports only the standard library; errors in the settings
+are reported later, when the settings are validated.
 """
 
 from __future__ import annotations
@@ -20,7 +15,7 @@
 
 
 def listen_for_callers(settings_path: str) -> socket.socket | None:
-    """Return a listening socket on the address of the settings, ``None`` if there is none."""
+    """Return a socket that listens on the callers' address, ``None`` if that fails."""
     try:
         with open(settings_path, encoding="utf-8") as file:
             fields = dict(line.strip().split("=", 1) for line in file if "=" in line)
--- a/mulleinreach/platform/notices.py
+++ b/mulleinreach/platform/notices.py
@@ -1,4 +1,4 @@
-"""Reads what a replica says of itself in the headers of its answers, whatever they answer."""
+"""Reads the notices that replicas put into the headers of any response."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 def read_notice(
     status: int, headers: CIMultiDictProxy[str], default_limit_per_s: float | None = None
 ) -> Notice:
-    """Return what an answer says of the replica that gave it.
+    """Return the notice in a response's headers.
 
-    Only 503 speaks for the whole replica; 429, say, may concern one tenant. A 421 may come from
-    another replica, which has the address now.
+    ``Retry-After`` counts only with status 503, which concerns the whole replica; 429 may concern
+    a single tenant. The limit is ignored with 421, which may come from another replica that has
+    taken over the address.
 
     Parameters
     ==========
 
-    default_limit_per_s : what it means that the answer names no limit.
+    default_limit_per_s : the limit if the response has no limit header.
 
     Examples
     ========
@@ -46,7 +47,7 @@
 
 
 def _limit_per_s(headers: CIMultiDictProxy[str], default: float | None) -> float | None:
-    """Return the limit that is named; one that can't be read doesn't tell that there is none."""
+    """Return the limit in requests per second, ``None`` if the header is invalid."""
     if LIMIT not in headers:
         return default
     limit = read_number(headers[LIMIT])
--- a/mulleinreach/platform/orders.py
+++ b/mulleinreach/platform/orders.py
@@ -1,4 +1,4 @@
-"""Gives orders to replicas and asks them for their reports."""
+"""Sends orders to replicas and reads their reports."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class PlatformOrders:
-    """Orders over HTTP; each names the incarnation that it is meant for.
+    """Sends orders over HTTP; each names the incarnation of the replica that it is for.
 
     Parameters
     ==========
 
-    sends_token : whether the engines here look at the fencing token of orders.
+    sends_token : whether the engines check the fencing token of orders.
     """
 
     def __init__(self, session: aiohttp.ClientSession, sends_token: bool):
@@ -40,7 +40,7 @@
         self._on_notice: Callable[[Upstream, Notice], None] = lambda host, notice: None
 
     def subscribe(self, on_notice: Callable[[Upstream, Notice], None]) -> None:
-        """Have what hosts say of themselves in their answers told, too."""
+        """Call ``on_notice`` for the notice in each response of a host."""
         self._on_notice = on_notice
 
     async def join(
@@ -63,19 +63,19 @@
         return await self._order(host, order, token)
 
     async def open(self, head: Upstream, group: str, epoch: int, token: int) -> OrderResult:
-        """Let a group serve."""
+        """Make the head of a group start serving."""
         return await self._order(head, {"op": "open", "group": group, "epoch": epoch}, token)
 
     async def leave(self, host: Upstream, group: str, epoch: int, token: int) -> OrderResult:
-        """Take the host out of a group at once."""
+        """Remove the host from a group immediately."""
         return await self._order(host, {"op": "leave", "group": group, "epoch": epoch}, token)
 
     async def stage(self, host: Upstream, model: str, token: int) -> OrderResult:
-        """Make the host load a model's weights beside what it does."""
+        """Make the host load a model's weights while it continues its other work."""
         return await self._order(host, {"op": "stage", "model": model}, token)
 
     async def report(self, host: Upstream, timeout_s: float) -> Upstream | Unavailable:
-        """Ask the host for its state."""
+        """Return the host with the state that it reports."""
         url = host.address.url + "/mulleinreach/report"
         headers = {EXPECT_INSTANCE: upstream_name(host.id)}
         try:
@@ -88,7 +88,7 @@
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             return Unavailable(f"{type(error).__name__}: {error}")
         except CheckError as error:
-            return Unavailable(f"a report that is none: {error}")
+            return Unavailable(f"invalid report: {error}")
 
     async def _order(self, host: Upstream, order: dict, token: int) -> OrderResult:
         if self._sends_token:
@@ -102,8 +102,8 @@
                     if response.status in (200, 202):
                         return Accepted()
                     if response.status == HTTPStatus.PRECONDITION_FAILED and self._sends_token:
-                        # A join is refused so for its epoch too. Epochs rise with the
-                        # token, so that also shows an order of a later coordinator.
+                        # Also returned for a join with an old epoch. Epochs rise with the
+                        # token, so a later coordinator has sent an order in both cases.
                         return Fenced()
                     if response.status >= 500:
                         return NoAnswer(f"status {response.status}")
--- a/mulleinreach/platform/process.py
+++ b/mulleinreach/platform/process.py
@@ -1,4 +1,4 @@
-"""One gateway node on the users' platform, from its settings to its planned stop."""
+"""Runs one gateway node on the users' platform."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def make_ports(settings: PlatformSettings, network: Network) -> Ports:
-    """Return the gateway's ports on the platform's services."""
+    """Return the gateway's ports, implemented by the platform's services."""
     store = PlatformStore(network.http_client, settings.store)
     return Ports(
         configurations=PlatformConfigurations(store),
@@ -41,7 +41,7 @@
     Parameters
     ==========
 
-    listener : listens on the callers' address already; ``None`` if nothing does.
+    listener : socket that already listens on the callers' address, if there is one.
     """
     try:
         settings = read_settings(settings_path)
--- a/mulleinreach/platform/rows.py
+++ b/mulleinreach/platform/rows.py
@@ -1,10 +1,7 @@
-"""Checks and translates what replicas tell of themselves, in their rows and their reports.
+"""Validates and parses the rows and reports of replicas.
 
-Explanation
-===========
-
-Anybody may write a row among the replicas'. One whose fields are missing, of another type or
-out of their ranges names no upstream to use; nothing of it gets any further than here.
+Other writers may store rows in the replicas' table. A row with a field that is missing, has
+another type or is out of range is rejected as a whole.
 """
 
 from __future__ import annotations
@@ -27,9 +24,9 @@
     upstream_name,
 )
 
-# Without the mark that stands before the start in an upstream's id.
+# Excludes "@", which separates the key from the start time in an upstream's id.
 _ROW_KEY = re.compile(r"[!-?A-~]{1,200}")
-# A host is cold for seconds; a day bounds what another writer may claim.
+# In milliseconds, at most one day.
 _ColdMs = Annotated[float, Meta(ge=0, le=86_400_000)]
 
 
@@ -44,19 +41,19 @@
     state: MemberState
 
     def membership(self) -> Membership:
-        """Return a host's place in the group."""
+        """Return the host's membership of the group."""
         return Membership(self.name, self.epoch, self.rank, self.state)
 
 
 class _ReplicaState(msgspec.Struct, kw_only=True):
-    """What a replica says of itself wherever it does.
+    """Fields that are common to the rows and reports of replicas.
 
     Parameters
     ==========
 
-    born : the Unix millisecond of its start; a replica that keeps no id need not tell it.
-    models : those that it runs, while it serves.
-    staged : those whose weights lie on its host.
+    born : Unix time of the replica's start, in milliseconds; optional.
+    models : models that it serves.
+    staged : models whose weights are stored on its host.
     """
 
     born: Number | None = None
@@ -65,15 +62,15 @@
     group: _Group | None = None
 
     def model_names(self) -> tuple[str, ...]:
-        """Return the names of the models that it runs."""
+        """Return the names of the models that the replica serves."""
         return tuple(model.name for model in self.models or ())
 
     def staged_names(self) -> tuple[str, ...]:
-        """Return the names of the models that lie on its host."""
+        """Return the names of the models whose weights are stored on its host."""
         return tuple(s if isinstance(s, str) else s.name for s in self.staged or ())
 
     def membership(self) -> Membership | None:
-        """Return its place in a group."""
+        """Return the replica's membership of a group."""
         return self.group and self.group.membership()
 
 
@@ -81,7 +78,7 @@
     service: Name
     address: str
     zone: Name
-    # Of its software, and the count of its orders: not used, and told by every replica.
+    # Required but unused: the version of its software and the number of its orders.
     version: str
     seq: Number
     slots: Annotated[int, Meta(ge=1, le=65_535)]
@@ -95,7 +92,7 @@
 
 
 def parse_upstream(name: str, raw: object) -> Upstream:
-    """Return an upstream from its row; raises :class:`CheckError`.
+    """Return the upstream that a row describes; raises :class:`CheckError`.
 
     Parameters
     ==========
@@ -103,7 +100,7 @@
     name : the row's key.
     """
     if not _ROW_KEY.fullmatch(name):
-        raise CheckError("key: not a name")
+        raise CheckError("key: invalid characters or length")
     row = check(_Row, raw)
     return Upstream(
         id=incarnation_id(name, row.born),
@@ -121,14 +118,14 @@
 
 
 def parse_report(known: Upstream, raw: object) -> Upstream:
-    """Return an upstream with what it reported itself; raises :class:`CheckError`.
+    """Return an upstream updated from its report; raises :class:`CheckError`.
 
-    The process that answers may be a later start of the one that was asked.
+    A report is rejected if the replica has restarted since ``known`` was read.
     """
     report = check(_Report, raw)
     start = start_time_ms(known.id)
     if start is not None and report.born not in (None, start):
-        raise CheckError(f"{upstream_name(known.id)} has started again")
+        raise CheckError(f"{upstream_name(known.id)} has restarted")
     return replace(
         known,
         models=report.model_names(),
--- a/mulleinreach/platform/settings.py
+++ b/mulleinreach/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform lays for a process."""
+"""Reads the settings file that the platform provides to a gateway process."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from mulleinreach.gateway.deployment import DeploymentBounds, GatewayIdentity
 
 METRICS_PORT_OFFSET = 1
-# The bounds on keys count from the acknowledgement; the rest covers the way.
+# Leaves time for a revocation to reach the node; the bound starts at its acknowledgement.
 KEY_EVIDENCE_BOUND_RATIO = 0.9
 
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """What a process is told at its start.
+    """Settings of a gateway process.
 
     Parameters
     ==========
 
-    engines_check_token : whether engines refuse orders that carry an old fencing token.
+    engines_check_token : whether engines reject orders with an outdated fencing token.
     """
 
     identity: GatewayIdentity
@@ -40,7 +40,7 @@
 
 
 def make_settings(fields: dict[str, str]) -> PlatformSettings:
-    """Check the fields that are used; others are ignored.
+    """Return the settings in validated fields; unknown fields are ignored.
 
     Examples
     ========
@@ -92,11 +92,11 @@
 
 
 def _key_revocation_bound_s(reader: FieldReader) -> float:
-    """Return how long after it was taken away a key may still be accepted.
+    """Return for how many seconds a revoked API key may still be accepted.
 
-    ``strict_revoke`` binds every node within ``revoke_ms``. Where it is false, keys are
-    like the rest of a configuration: in force within ``config_ms``, and ``outer_ms``
-    later at a node that the store turns away while it serves others.
+    With ``strict_revoke`` every node must stop accepting it within ``revoke_ms``. Otherwise
+    keys change like other configuration, within ``config_ms``, or up to ``outer_ms`` later on
+    a node that can't reach the store while other nodes can.
     """
     if reader.flag("bounds.strict_revoke"):
         return reader.seconds("bounds.revoke_ms")
--- a/mulleinreach/platform/sources.py
+++ b/mulleinreach/platform/sources.py
@@ -1,4 +1,4 @@
-"""Implements the gateway's sources and its lease on the platform's store."""
+"""Implements the gateway's configuration, upstream and lease ports on the platform's store."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 CONFIGURATION_TABLE = "op"
 CONFIGURATION_KEY = "config"
-# A row for each hall that is to be empty; that it is there counts, whatever it holds.
+# One row per hall to evacuate; only the presence of the row matters, not its value.
 EVACUATION_PREFIX = "evacuate/"
 UPSTREAM_TABLE = "servers"
 LEASE_TABLE = "mulleinreach"
@@ -37,13 +37,13 @@
 
 
 class PlatformConfigurations:
-    """The operator's configuration and requests to empty halls, rows of one table."""
+    """Reads the operator's configuration and evacuation requests, which share a table."""
 
     def __init__(self, store: PlatformStore):
         self._store = store
 
     async def read(self) -> ConfigurationRead | Unavailable:
-        """Return the newest configuration."""
+        """Return the current configuration and evacuation requests."""
         result = await self._store.read_table(CONFIGURATION_TABLE)
         if isinstance(result, Unavailable):
             return result
@@ -52,7 +52,7 @@
     async def wait(
         self, revision: int, wait_s: float
     ) -> ConfigurationRead | HistoryLost | Unavailable:
-        """Return the configuration as soon as it has changed."""
+        """Wait until the configuration or an evacuation request changes, or ``wait_s`` pass."""
         result = await self._store.wait(CONFIGURATION_TABLE, revision, wait_s)
         if isinstance(result, StoreRows):
             return self._translate(result, is_whole=False)
@@ -81,7 +81,7 @@
         )
 
     def decode(self, document: bytes) -> Configuration | None:
-        """Return the configuration that another node has read."""
+        """Return the configuration in a document that another node has read."""
         try:
             return _parse(unpack_document(document))
         except CheckError as error:
@@ -99,7 +99,7 @@
 
 
 class PlatformUpstreams:
-    """The rows that replicas write of themselves, and others beside them."""
+    """Reads the rows of replicas; invalid rows are reported as unusable."""
 
     def __init__(self, store: PlatformStore):
         self._store = store
@@ -110,7 +110,7 @@
         return result if isinstance(result, Unavailable) else self._translate(result)
 
     async def wait(self, revision: int, wait_s: float) -> UpstreamsRead | HistoryLost | Unavailable:
-        """Return the upstreams that changed."""
+        """Wait up to ``wait_s`` for changes and return the upstreams that changed."""
         result = await self._store.wait(UPSTREAM_TABLE, revision, wait_s)
         return self._translate(result) if isinstance(result, StoreRows) else result
 
@@ -142,7 +142,7 @@
 
 
 def _row_states(rows: OperatorRows | None) -> list[RowState]:
-    """Return where the operators' rows stand, and the versions that they should have."""
+    """Return the keys and expected versions of the operator's rows."""
     if rows is None:
         return []
     configuration = RowState(CONFIGURATION_TABLE, CONFIGURATION_KEY, rows.configuration)
@@ -154,13 +154,13 @@
 
 
 class PlatformLease:
-    """The coordinator's lease, one row of the store."""
+    """Reads and writes the coordinator's lease, which is one row of the store."""
 
     def __init__(self, store: PlatformStore):
         self._store = store
 
     async def read(self) -> LeaseRead | Unavailable:
-        """Return the row."""
+        """Return the lease, without a record if the row is absent or unreadable."""
         row = await self._store.read_row(LEASE_TABLE, LEASE_KEY)
         if isinstance(row, Unavailable):
             return row
@@ -175,7 +175,7 @@
     async def write(
         self, version: int, record: LeaseRecord, unchanged: OperatorRows | None = None
     ) -> LeaseWritten | LeaseConflict | OperatorRowsChanged | Unavailable:
-        """Replace the row if it still has ``version``, and the operators' rows theirs."""
+        """Write the lease if its row and the operator's rows still have the given versions."""
         lease = RowState(LEASE_TABLE, LEASE_KEY, version)
         result = await self._store.write_row(lease, encode_record(record), _row_states(unchanged))
         if isinstance(result, Written):
--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: rows and feeds, each answer as a value."""
+"""HTTP client of the platform's store; errors are returned as values, not raised."""
 
 from __future__ import annotations
 
@@ -26,26 +26,23 @@
     is_of_earlier_era,
 )
 
-# Shorter than the 1.5 s after which a node takes its evidence for too old; a node that starts
-# asks again after it.
+# Shorter than the age at which the data of a node counts as stale.
 READ_TIMEOUT_S = 1.0
-# A write without an answer is followed by a look at the row. It has to come while a lease of
-# two seconds still holds; a store that is 60 times slower than usual answers within 0.35 s.
+# Leaves time to read the row after a lost response before the lease expires.
 WRITE_TIMEOUT_S = 0.6
-# What a wait for changes may take beyond the time for which the store was asked to wait. The
-# longest wait of two seconds then ends while nodes still may send to an upstream that leaves.
+# Added to the duration of a long poll; limits how late a node sees that an upstream is leaving.
 WAIT_ANSWER_TIMEOUT_S = 0.6
-# A wait that was in vain is followed by a look at what has changed meanwhile.
+# Duration of the long poll that replaces one whose connection timed out.
 RECHECK_WAIT_S = 0.01
 MAX_PAGE_ROWS = 500
-# Rises each time that the store comes back from a copy that lacks its latest writes.
+# Increases whenever the store is restored from a backup that lacks its latest writes.
 ERA_HEADER = "Store-Era"
-# What decoding an answer of another shape raises.
+# Raised when a response has an unexpected structure.
 _DECODE_ERRORS = (ValueError, KeyError, TypeError)
 
 
 def decode_row(raw: dict, era: int = 0) -> StoreRow:
-    """Return a row as the store tells it in an era; one that can't be read says why.
+    """Return a row from its JSON form; sets ``unreadable_reason`` if its value is invalid.
 
     Examples
     ========
@@ -67,7 +64,7 @@
 
 
 def _decode_conflict(answer: dict, era: int = 0) -> Conflict:
-    """Return which revisions the rows have that a refused write had named.
+    """Return the current revisions of the rows that a rejected write expected unchanged.
 
     Examples
     ========
@@ -82,7 +79,7 @@
 
 
 def _read_body(answer: HttpResponse | CallFailed) -> dict | HistoryLost | Unavailable:
-    """Return the document that an answer holds."""
+    """Return the JSON document in a response."""
     if isinstance(answer, CallFailed):
         return Unavailable(answer.reason)
     if answer.status == HTTPStatus.GONE:
@@ -96,7 +93,7 @@
 
 
 def _read_era(answer: HttpResponse, known: int) -> int:
-    """Return the era that an answer tells, the one known if it tells none that can be read."""
+    """Return the era in a response's header, ``known`` if it is missing or invalid."""
     told = answer.headers.get(ERA_HEADER)
     era = read_count(told)
     if era is None and told is not None:
@@ -105,7 +102,7 @@
 
 
 def _decode_written(answer: HttpResponse, era: int) -> Written | Conflict | Unavailable:
-    """Return what came of a write that was answered."""
+    """Return the result of a write from its response."""
     try:
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
             return _decode_conflict(read_object(answer.body), era)
@@ -117,34 +114,31 @@
 
 
 class PlatformStore:
-    """One narrow client of the store.
+    """Client for the tables of the store that the gateway uses.
 
-    Explanation
-    ===========
-
-    A version is compared only with versions of its own era: after the store was restored, the
-    same number may be that of another write.
+    Versions are compared only within one era: after a restore, the store may assign the same
+    version to another write.
 
     Parameters
     ==========
 
-    make_session : makes a session without connections.
+    make_session : returns a new HTTP session without open connections.
     """
 
     def __init__(self, make_session: Callable[[], aiohttp.ClientSession], address: Address):
         self._calls = HttpClient(make_session)
         self._url = address.url + "/mulleinreach/"
-        # The latest era that an answer told.
+        # Latest era seen in a response, ``None`` before the first one.
         self.era: int | None = None
 
     async def close(self) -> None:
-        """End the connections."""
+        """Close all connections."""
         await self._calls.close()
 
     async def _request(
         self, method: str, call: str, timeout_s: float, **options
     ) -> HttpResponse | CallFailed:
-        """Make one call, and note the era that its answer tells."""
+        """Send a request and record the era in its response."""
         answer = await self._calls.ask(method, self._url + call, timeout_s, **options)
         if isinstance(answer, HttpResponse):
             self._update_era(self._era_of(answer))
@@ -156,12 +150,12 @@
     def _update_era(self, era: int) -> None:
         if self.era is not None and era > self.era:
             logging.warning("event=store_restored era=%d before=%d", era, self.era)
-            # They began at a version that the store may reach only much later.
+            # The store may reach the versions that they wait for only much later.
             self._calls.cancel_long_polls()
         self.era = max(era, self.era or 0)
 
     async def read_table(self, table: str) -> StoreRows | Unavailable:
-        """Return all rows of a table's empty part."""
+        """Return all rows of a table, reading it page by page."""
         rows: list[StoreRow] = []
         revision = None
         source = ""
@@ -173,7 +167,7 @@
             if isinstance(page, Unavailable):
                 return page
             rows += page.rows
-            # Later pages may miss what changed after the first one.
+            # Changes after the first page may be missing, so its revision is returned.
             revision = page.revision if revision is None else revision
             if era_of(page.revision) != era_of(revision):
                 return Unavailable("the store was restored between two pages")
@@ -193,13 +187,13 @@
         answer = await self._request("GET", "rows-get", READ_TIMEOUT_S, params=params)
         body = _read_body(answer)
         if isinstance(body, HistoryLost):
-            return Unavailable("no rows")
+            return Unavailable("status 410 for a read of rows")
         return self._decode(body, self._era_of(answer)) if isinstance(body, dict) else body
 
     async def wait(
         self, table: str, revision: int, wait_s: float
     ) -> StoreRows | HistoryLost | Unavailable:
-        """Return the rows of a table that changed after ``revision``."""
+        """Wait up to ``wait_s`` for rows that changed after ``revision`` and return them."""
         if era_of(revision) < (self.era or 0):
             return HistoryLost()
         requested_at = asyncio.get_running_loop().time()
@@ -207,13 +201,13 @@
         if isinstance(answer, CallTimedOut) and self._calls.answered_at > requested_at:
             if era_of(revision) < (self.era or 0):
                 return HistoryLost()
-            # The store answers other calls, so only this one's connection was silent.
+            # The store responds to other calls, so only this connection is broken.
             answer = await self._request_changes(table, revision, RECHECK_WAIT_S)
         body = _read_body(answer)
         if not isinstance(body, dict):
             return body
         if self._era_of(answer) != era_of(revision):
-            # Versions are beyond the one that was named, and yet changes are missing.
+            # The store was restored, so the rows may lack changes.
             return HistoryLost()
         return self._decode(body, self._era_of(answer))
 
@@ -231,10 +225,10 @@
     async def write_row(
         self, row: RowState, value: dict, unchanged: list[RowState]
     ) -> Written | Conflict | Unavailable:
-        """Replace a row if it, and the rows ``unchanged``, have the revisions told here.
+        """Replace a row if it and the rows ``unchanged`` have the given revisions.
 
-        A conflict may have been carried out all the same, where the store was restored
-        meanwhile and the versions happened to fit.
+        Returns ``Conflict`` if the store was restored meanwhile, even though the write may have
+        succeeded because the versions happen to match.
         """
         expected_rows = [row, *unchanged]
         comparable = tuple(r for r in expected_rows if not is_of_earlier_era(r, self.era or 0))
@@ -260,4 +254,4 @@
             revision = make_revision(era, int(answer["ver"]))
             return StoreRows(revision, rows, bool(answer.get("has_more")))
         except (KeyError, TypeError, ValueError) as error:
-            return Unavailable(f"rows of another shape: {error!r}")
+            return Unavailable(f"invalid rows in response: {error!r}")
--- a/mulleinreach/platform/tests/test_rows.py
+++ b/mulleinreach/platform/tests/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of other writers name no upstream to use, and the others hold."""
+"""Invalid rows of other writers are rejected and don't affect valid ones."""
 
 from __future__ import annotations
 
@@ -136,7 +136,7 @@
         whole = await ports.upstreams.read()
         assert [u.id for u in whole.upstreams] == ["u-0", "u-2"]
         assert [row.name for row in whole.unusable] == ["u-1"]
-        # A sound row right after it counts at once.
+        # A valid row that replaces it is used immediately.
         ports.put_upstream(replace(HOST, id="u-1"))
         back = await ports.upstreams.wait(whole.revision, 1.0)
         assert [u.id for u in back.upstreams] == ["u-1"]
@@ -173,7 +173,7 @@
     again = parse_upstream("u-1", {**SOUND, "born": 1_790_000_000_001})
     assert first.id != again.id
     assert json.dumps(first.id)
-    with pytest.raises(CheckError, match="started again"):
+    with pytest.raises(CheckError, match="has restarted"):
         parse_report(first, {**SOUND, "pace": 1.0, "born": 1_790_000_000_001})
     assert parse_report(first, {**SOUND, "pace": 1.0, "born": 1_790_000_000_000}).id == first.id
     assert parse_report(first, {**SOUND, "pace": 1.0}).id == first.id
