--- a/mulleinreach/platform/tests/port_kinds.py
+++ b/mulleinreach/platform/tests/port_kinds.py
@@ -1,4 +1,4 @@
-"""The ports of a gateway on memory and on the platform's protocol, for the same checks."""
+"""Runs the same tests on in-memory ports and on ports that use the platform's protocol."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class MemoryPorts:
-    """The ports on memory."""
+    """Ports that use an in-memory store directly."""
 
     def __init__(self, memory, store):
         self.memory = memory
@@ -82,7 +82,7 @@
 
 
 class PlatformPorts:
-    """The ports on the platform's protocol."""
+    """Ports that use a store over the platform's protocol."""
 
     def __init__(self, memory, store):
         self.memory = memory
@@ -108,7 +108,7 @@
 
 
 def run_ports(kind, test):
-    """Run a test on one kind of ports."""
+    """Run a test on ports of the class ``kind``."""
 
     async def run():
         memory = MemoryStore()
--- a/mulleinreach/platform/tests/standin.py
+++ b/mulleinreach/platform/tests/standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the users' store and of a replica, by their published protocol."""
+"""Fakes of the platform's store and of a replica, which implement their HTTP protocols."""
 
 from __future__ import annotations
 
@@ -16,11 +16,16 @@
 
 
 class StoreStandIn:
-    """Speaks the platform's protocol before a :class:`MemoryStore`.
+    """Serves a :class:`MemoryStore` by the platform's protocol.
 
-    Rows hold JSON documents or upstreams; ``page`` is the most rows of one answer,
-    ``tables`` names those tables that have another name in memory. Knobs: ``status`` is
-    given to each call, ``headers`` go with each answer, ``get_rows`` answers reads.
+    Rows hold JSON documents or upstreams. Tests may set ``status`` (returned for every request),
+    ``headers`` (added to every response) and ``get_rows`` (the handler of reads).
+
+    Parameters
+    ==========
+
+    page : maximum number of rows in a response.
+    tables : names in memory of the tables that have another name there.
     """
 
     def __init__(self, memory: MemoryStore, page: int = PAGE, tables: dict[str, str] | None = None):
@@ -103,9 +108,12 @@
 
 
 class ReplicaStandIn:
-    """Takes orders and reports; ``answers`` are the statuses to give to orders, in turn.
+    """Receives orders and serves ``report``; ``headers`` are added to its responses.
+
+    Parameters
+    ==========
 
-    Knob: ``headers`` go with each answer of its own.
+    answers : the status codes returned for successive orders; 0 leaves an order unanswered.
     """
 
     def __init__(self, upstream_id: str, answers: list[int]):
@@ -141,7 +149,7 @@
 
 
 def row_of(upstream: Upstream) -> dict:
-    """Return an upstream's row as a replica writes it."""
+    """Return the row that a replica writes for an upstream."""
     membership = upstream.membership
     started_ms = start_time_ms(upstream.id)
     born = {} if started_ms is None else {"born": started_ms}
--- a/mulleinreach/platform/tests/test_early.py
+++ b/mulleinreach/platform/tests/test_early.py
@@ -1,4 +1,4 @@
-"""Callers' connections are taken before the program is imported."""
+"""Callers can connect before the rest of the program is imported."""
 
 from __future__ import annotations
 
--- a/mulleinreach/platform/tests/test_notices.py
+++ b/mulleinreach/platform/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""What replicas say of themselves in their answers to orders and to questions for reports."""
+"""Notices of replicas in the headers of their responses are parsed and published."""
 
 from __future__ import annotations
 
--- a/mulleinreach/platform/tests/test_orders.py
+++ b/mulleinreach/platform/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to replicas and their reports, on the platform's protocol."""
+"""Orders to replicas and their reports, by the platform's protocol."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 
 
 def run_orders(answers, test, sends_token=False):
-    """Run a test against one replica."""
+    """Run a test against a fake replica."""
 
     async def run():
         replica = ReplicaStandIn(HOST.id, answers)
--- a/mulleinreach/platform/tests/test_ports.py
+++ b/mulleinreach/platform/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""The same checks of the sources and the lease, on memory and on the platform's protocol."""
+"""Configurations, upstreams and the lease, on in-memory ports and on the platform's protocol."""
 
 import asyncio
 from dataclasses import replace
@@ -60,7 +60,7 @@
         ports.put_evacuation("hall-c", {})
         ports.put_evacuation("hall-c", None)
         read = await ports.configurations.read()
-        # Of halls that a whole read doesn't name there is no request.
+        # In a complete read, a missing hall has no evacuation request.
         assert (read.evacuations, read.is_whole) == ((EvacuationRow("hall-b", in_b),), True)
         asking = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
         await asyncio.sleep(1)
@@ -203,7 +203,7 @@
     run_ports(kind, test)
 
 
-# Only the platform's rows can be of another shape.
+# Invalid rows are possible only on the platform's protocol.
 
 
 def test_invalid_rows_are_skipped():
--- a/mulleinreach/platform/tests/test_restored_ports.py
+++ b/mulleinreach/platform/tests/test_restored_ports.py
@@ -1,4 +1,4 @@
-"""What the ports tell of a store that came back from a copy, whose versions are given out again."""
+"""Ports detect that the store was restored from a backup and assigns versions again."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
         read = await ports.upstreams.read()
         waiting = asyncio.create_task(ports.upstreams.wait(read.revision, 30.0))
         await asyncio.sleep(1)
-        # Only the answers to new calls tell it.
+        # Only responses to new calls report the restore.
         ports.memory.restore(copy, ends_waits=False)
         await ports.configurations.read()
         async with asyncio.timeout(0.2):
--- a/mulleinreach/platform/tests/test_settings.py
+++ b/mulleinreach/platform/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings with a missing or malformed field name it; unknown ones are ignored."""
+"""Errors name the missing or malformed settings field; unknown fields are ignored."""
 
 import subprocess
 import sys
@@ -33,7 +33,7 @@
 bounds.retry_slack=136
 platform.address=10.200.1.7:8223
 """
-# What only some deployments have; those without it run as they did before.
+# Present in some deployments only; the others use the defaults.
 OPTIONAL = """\
 bounds.evac_ms=4000
 bounds.cold_overage=1.5
@@ -43,7 +43,7 @@
 zones.b=south
 """
 LENIENT = COMPLETE.replace("strict_revoke=true", "strict_revoke=false")
-# This is needed where keys may outlive an outage of the store.
+# Required only if revoked keys may be accepted longer during an outage of the store.
 LENIENT_REQUIRED_FIELDS = ("bounds.outer_ms",)
 REQUIRED_FIELDS = [
     name for name in parse_lines(COMPLETE) if name not in ("a.new.field", *LENIENT_REQUIRED_FIELDS)
--- a/mulleinreach/platform/tests/test_silent_nodes.py
+++ b/mulleinreach/platform/tests/test_silent_nodes.py
@@ -1,4 +1,4 @@
-"""Whole nodes on the platform's protocol, of whose connections some fall silent."""
+"""Nodes keep the lease and observe changes although connections to the store stall."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class PlatformWorld(GatewayWorld):
-    """Nodes that reach the store over the network, by the platform's protocol."""
+    """A cluster whose nodes reach the store by the platform's protocol."""
 
     async def start(self) -> None:
         standin = StoreStandIn(self.store, page=500, tables={UPSTREAM_TABLE: UPSTREAMS})
@@ -71,7 +71,7 @@
 
 
 def run_platform_world(test) -> None:
-    """Run a test with three nodes that have settled."""
+    """Run a test with three nodes, after they have elected a coordinator."""
 
     async def run() -> None:
         world = PlatformWorld(nodes=3, bounds=BOUNDS)
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("part", [ALL_CONNECTIONS, EVEN_CONNECTIONS, ODD_CONNECTIONS])
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 0.6])
 def test_coordinator_keeps_lease_and_nodes_observe_changes_in_time(part, after_s):
-    """Whatever was under way at that moment."""
+    """The delay varies which calls are in flight when the connections stall."""
 
     async def test(world):
         coordinator = world.coordinator()
--- a/mulleinreach/platform/tests/test_silent_store.py
+++ b/mulleinreach/platform/tests/test_silent_store.py
@@ -1,4 +1,4 @@
-"""Connections to the store that fall silent without a reset are given up within their bounds."""
+"""Calls on connections to the store that stall without a reset end within their timeouts."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 STORE_ADDRESS = Address("10.9.0.1", 8000)
 TABLE = "servers"
 WAIT_S = 2.0
-# A call on a new connection: the store takes 4 ms.
+# Upper bound for a call on a new connection.
 ANSWER_BOUND_S = 0.1
-# So many connections are open while three things are asked at once.
+# A node has up to three concurrent calls: a read, a long poll and a write.
 CONNECTIONS = 3
 
 
 class _StoreFixture:
-    """A store's stand-in and its client, whose connections can fall silent."""
+    """A fake store and its client, whose connections can be stalled."""
 
     def __init__(self) -> None:
         self.memory = MemoryStore()
@@ -47,11 +47,11 @@
         await self._server.close()
 
     def silence(self, part: slice = slice(None)) -> None:
-        """Let open connections fall silent."""
+        """Stall open connections without closing them."""
         self.links.silence(["node"], part)
 
     async def use_connections(self) -> None:
-        """Leave as many idle connections as a node has that asks for all it needs at once."""
+        """Open as many connections as a node uses at most, and leave them idle."""
         await asyncio.gather(*(self.read() for _ in range(CONNECTIONS)))
 
     async def read(self) -> StoreRow | None | Unavailable:
@@ -81,7 +81,7 @@
 
 
 async def timed(call) -> tuple[object, float]:
-    """Return the result of a call, and how long it took."""
+    """Return the result of a call and its duration in seconds."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     return await call, loop.time() - started_at
--- a/mulleinreach/platform/tests/test_translation.py
+++ b/mulleinreach/platform/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""Homes and cold hosts, as the platform spells them; both may be left out."""
+"""Optional settings of the platform for allowed regions and cold hosts are parsed."""
 
 from __future__ import annotations
 
