--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -94,10 +94,10 @@
 
 def _read_era(answer: HttpResponse, known: int) -> int:
     """Return the era in a response's header, ``known`` if it is missing or invalid."""
-    told = answer.headers.get(ERA_HEADER)
-    era = read_count(told)
-    if era is None and told is not None:
-        logging.warning("event=store_era_unreadable told=%r", told)
+    header = answer.headers.get(ERA_HEADER)
+    era = read_count(header)
+    if era is None and header is not None:
+        logging.warning("event=store_era_unreadable told=%r", header)
     return known if era is None else era
 
 
--- a/mulleinreach/platform/tests/standin.py
+++ b/mulleinreach/platform/tests/standin.py
@@ -113,12 +113,12 @@
     Parameters
     ==========
 
-    answers : the status codes returned for successive orders; 0 leaves an order unanswered.
+    order_statuses : the status codes returned for successive orders; 0 leaves an order unanswered.
     """
 
-    def __init__(self, upstream_id: str, answers: list[int]):
+    def __init__(self, upstream_id: str, order_statuses: list[int]):
         self.id = upstream_id
-        self.answers = answers
+        self.order_statuses = order_statuses
         self.orders: list[dict] = []
         self.report: object = {}
         self.headers: dict[str, str] = {}
@@ -137,7 +137,7 @@
         if self._is_misdirected(request):
             return web.Response(status=421)
         self.orders.append(await request.json())
-        status = self.answers.pop(0)
+        status = self.order_statuses.pop(0)
         if status == 0:
             await asyncio.sleep(3600)
         return web.Response(status=status, headers=self.headers)
--- a/mulleinreach/platform/tests/test_notices.py
+++ b/mulleinreach/platform/tests/test_notices.py
@@ -58,12 +58,12 @@
 
 def test_notices_in_answers_to_orders_and_reports_are_published():
     async def test(orders, replica):
-        told = []
-        orders.subscribe(lambda host, notice: told.append((host.id, notice)))
+        published = []
+        orders.subscribe(lambda host, notice: published.append((host.id, notice)))
         replica.headers = {LEAVING: "1", RETRY_AFTER: "3"}
         await orders.open(HOST, "g", 12, 3)
         await orders.report(HOST, 0.3)
         leaving = Notice(is_leaving=True)
-        assert told == [(HOST.id, Notice(True, 3.0)), (HOST.id, leaving)]
+        assert published == [(HOST.id, Notice(True, 3.0)), (HOST.id, leaving)]
 
     run_orders([503], test)
--- a/mulleinreach/platform/tests/test_orders.py
+++ b/mulleinreach/platform/tests/test_orders.py
@@ -15,11 +15,11 @@
 HOST = Upstream("u-1", "models", Address("10.0.1.1", 80), "hall-a", slots=3, domain="d1")
 
 
-def run_orders(answers, test, sends_token=False):
+def run_orders(order_statuses, test, sends_token=False):
     """Run a test against a fake replica."""
 
     async def run():
-        replica = ReplicaStandIn(HOST.id, answers)
+        replica = ReplicaStandIn(HOST.id, order_statuses)
         network = VirtualNetwork(Links(), "test")
         server = await network.serve_http(replica.app(), HOST.address)
         session = network.http_client()
--- a/mulleinreach/platform/tests/test_ports.py
+++ b/mulleinreach/platform/tests/test_ports.py
@@ -30,10 +30,10 @@
         ports.put_configuration(3)
         read = await ports.configurations.read()
         assert read.configuration.version == 3
-        asking = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
+        waiting = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
         await asyncio.sleep(1)
         ports.put_configuration(9)
-        waited = await asking
+        waited = await waiting
         assert waited.configuration.version == 9
         assert waited.revision > read.revision
 
@@ -53,7 +53,7 @@
 
 
 @both_ports
-def test_requests_to_empty_halls_are_read_and_waited_for(kind):
+def test_evacuation_requests_are_read_and_waited_for(kind):
     async def test(ports):
         ports.put_configuration(3)
         in_b = ports.put_evacuation("hall-b", {})
@@ -62,10 +62,10 @@
         read = await ports.configurations.read()
         # In a complete read, a missing hall has no evacuation request.
         assert (read.evacuations, read.is_whole) == ((EvacuationRow("hall-b", in_b),), True)
-        asking = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
+        waiting = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
         await asyncio.sleep(1)
         in_a = ports.put_evacuation("hall-a", {})
-        waited = await asking
+        waited = await waiting
         assert (waited.evacuations, waited.is_whole) == ((EvacuationRow("hall-a", in_a),), False)
         assert waited.configuration is None
         ports.put_evacuation("hall-b", None)
@@ -140,7 +140,7 @@
 
 
 @both_ports
-def test_lease_is_written_only_under_the_configuration_that_is_named(kind):
+def test_lease_is_written_only_if_the_configuration_is_unchanged(kind):
     async def test(ports):
         ports.put_configuration(7)
         record = LeaseRecord("a.1", "10.0.0.1:1", 1, 0)
@@ -158,7 +158,7 @@
 
 
 @both_ports
-def test_lease_is_written_only_while_requests_to_empty_halls_are_those_that_are_named(kind):
+def test_lease_is_written_only_if_evacuation_requests_are_unchanged(kind):
     async def test(ports):
         ports.put_configuration(7)
         record = LeaseRecord("a.1", "10.0.0.1:1", 1, 0)
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("value", [{}, ["a", "list"], "text", b"no base64 \xc3\xa4"])
-def test_request_to_empty_a_hall_counts_by_its_presence(value):
+def test_evacuation_request_counts_by_its_presence(value):
     async def test(ports):
         before = (await ports.configurations.read()).revision
         version = ports.put_evacuation("hall-a", value)
--- a/mulleinreach/platform/tests/test_restored_ports.py
+++ b/mulleinreach/platform/tests/test_restored_ports.py
@@ -21,7 +21,7 @@
 from mulleinreach.platform.tests.port_kinds import HOST, PlatformPorts, both_ports, run_ports
 
 RECORD = LeaseRecord("a.1", "10.0.0.1:1", 1, 0, "secret")
-OTHER = LeaseRecord("b.1", "10.0.0.2:1", 2, 0, "other")
+OTHER_RECORD = LeaseRecord("b.1", "10.0.0.2:1", 2, 0, "other")
 WAIT_S = 0.2
 
 
@@ -54,10 +54,10 @@
             ports.put_upstream(HOST)
         assert await ports.upstreams.wait(read.revision, WAIT_S) == HistoryLost()
         assert await ports.configurations.wait(read.revision, WAIT_S) == HistoryLost()
-        again = await ports.upstreams.read()
+        restored = await ports.upstreams.read()
         ports.put_upstream(replace(HOST, id="u-2"))
-        (told,) = (await ports.upstreams.wait(again.revision, WAIT_S)).upstreams
-        assert told.id == "u-2"
+        (changed,) = (await ports.upstreams.wait(restored.revision, WAIT_S)).upstreams
+        assert changed.id == "u-2"
 
     run_ports(kind, test)
 
@@ -88,11 +88,11 @@
         copy = ports.memory.copy()
         written = await ports.lease.write(0, RECORD)
         ports.memory.restore(copy)
-        again = ports.memory.put("mulleinreach", "coordinator", {})
+        reused_version = ports.memory.put("mulleinreach", "coordinator", {})
         if kind is not PlatformPorts:
-            again = ports.memory.put("lease", "coordinator", OTHER)
-            ports.memory.version = again = version_of(written.version)
-        assert again == version_of(written.version)
+            reused_version = ports.memory.put("lease", "coordinator", OTHER_RECORD)
+            ports.memory.version = reused_version = version_of(written.version)
+        assert reused_version == version_of(written.version)
         if has_seen_restore:
             await ports.upstreams.read()
         assert await ports.lease.write(written.version, RECORD) == LeaseConflict()
@@ -153,13 +153,13 @@
     run_ports(PlatformPorts, test)
 
 
-@pytest.mark.parametrize("told", ["", "x", "-1", "²", "1.5"])
-def test_unreadable_era_header_keeps_the_known_era(told):
+@pytest.mark.parametrize("header", ["", "x", "-1", "²", "1.5"])
+def test_unreadable_era_header_keeps_the_known_era(header):
     async def test(ports):
         ports.memory.restore(ports.memory.copy())
         ports.put_upstream(HOST)
         before = await ports.upstreams.read()
-        ports.standin.headers[ERA_HEADER] = told
+        ports.standin.headers[ERA_HEADER] = header
         after = await ports.upstreams.read()
         assert after.revision == before.revision
 
--- a/mulleinreach/platform/tests/test_rows.py
+++ b/mulleinreach/platform/tests/test_rows.py
@@ -163,15 +163,15 @@
 def test_reports_with_invalid_fields_are_rejected():
     report = {**SOUND, "pace": 1.5, "in_flight": False}
     assert parse_report(HOST, report).pace == 1.5
-    for spoilt in ({"pace": "1"}, {"pace": 0}, {"models": 3}, {"group": {"name": "g"}}):
+    for invalid in ({"pace": "1"}, {"pace": 0}, {"models": 3}, {"group": {"name": "g"}}):
         with pytest.raises(CheckError):
-            parse_report(HOST, {**report, **spoilt})
+            parse_report(HOST, {**report, **invalid})
 
 
 def test_start_time_is_part_of_an_upstreams_id():
     first = parse_upstream("u-1", {**SOUND, "born": 1_790_000_000_000})
-    again = parse_upstream("u-1", {**SOUND, "born": 1_790_000_000_001})
-    assert first.id != again.id
+    restarted = parse_upstream("u-1", {**SOUND, "born": 1_790_000_000_001})
+    assert first.id != restarted.id
     assert json.dumps(first.id)
     with pytest.raises(CheckError, match="has restarted"):
         parse_report(first, {**SOUND, "pace": 1.0, "born": 1_790_000_000_001})
--- a/mulleinreach/platform/tests/test_settings.py
+++ b/mulleinreach/platform/tests/test_settings.py
@@ -74,11 +74,11 @@
     assert settings.identity.regions == {"a": "north", "b": "south"}
 
 
-def test_deployment_without_optional_fields_has_the_usual_bounds():
+def test_deployment_without_optional_fields_has_default_bounds():
     settings = make_settings(parse_lines(COMPLETE))
-    bounds, usual = settings.bounds, DeploymentBounds()
-    assert bounds.evacuation_s == usual.evacuation_s
-    assert (bounds.cold_ratio, bounds.cold_slack) == (usual.cold_ratio, usual.cold_slack)
+    bounds, defaults = settings.bounds, DeploymentBounds()
+    assert bounds.evacuation_s == defaults.evacuation_s
+    assert (bounds.cold_ratio, bounds.cold_slack) == (defaults.cold_ratio, defaults.cold_slack)
     assert bounds.max_lost_halls == 0
     assert settings.identity.regions == {}
 
--- a/mulleinreach/platform/tests/test_silent_nodes.py
+++ b/mulleinreach/platform/tests/test_silent_nodes.py
@@ -86,16 +86,16 @@
     run_virtual(run())
 
 
-@pytest.mark.parametrize("part", [ALL_CONNECTIONS, EVEN_CONNECTIONS, ODD_CONNECTIONS])
+@pytest.mark.parametrize("connections", [ALL_CONNECTIONS, EVEN_CONNECTIONS, ODD_CONNECTIONS])
 @pytest.mark.parametrize("after_s", [0.0, 0.3, 0.6])
-def test_coordinator_keeps_lease_and_nodes_observe_changes_in_time(part, after_s):
+def test_coordinator_keeps_lease_and_nodes_observe_changes_in_time(connections, after_s):
     """The delay varies which calls are in flight when the connections stall."""
 
     async def test(world):
         coordinator = world.coordinator()
         leaving = next(iter(world.fabric.hosts.values()))
         await asyncio.sleep(after_s)
-        world.links.silence(world.nodes, part)
+        world.links.silence(world.nodes, connections)
         world.configure(2)
         leaving.drain()
         configured_s = await world.until(lambda: _all_have_version(world, 2))
--- a/mulleinreach/platform/tests/test_silent_store.py
+++ b/mulleinreach/platform/tests/test_silent_store.py
@@ -46,9 +46,9 @@
         await self.store.close()
         await self._server.close()
 
-    def silence(self, part: slice = slice(None)) -> None:
+    def silence(self, connections: slice = slice(None)) -> None:
         """Stall open connections without closing them."""
-        self.links.silence(["node"], part)
+        self.links.silence(["node"], connections)
 
     async def use_connections(self) -> None:
         """Open as many connections as a node uses at most, and leave them idle."""
@@ -141,14 +141,14 @@
 
 def test_wait_is_not_retried_if_the_store_answers_no_call():
     async def test(world):
-        asked = []
+        requests = []
 
-        async def hang(*question):
-            asked.append(question)
+        async def hang(*arguments):
+            requests.append(arguments)
             await asyncio.sleep(3600)
 
         world.memory.wait = hang
         assert isinstance(await world.wait(), Unavailable)
-        assert len(asked) == 1
+        assert len(requests) == 1
 
     run_store(test)
--- a/mulleinreach/platform/tests/test_translation.py
+++ b/mulleinreach/platform/tests/test_translation.py
@@ -31,6 +31,6 @@
     assert configuration.organisation_for_key("k").allowed_regions is None
 
 
-@pytest.mark.parametrize(("told", "cold_s"), [({}, 0.0), ({"cold_remaining_ms": 2500}, 2.5)])
-def test_cold_time_of_a_row_is_parsed(told, cold_s):
-    assert parse_upstream("u-1", {**row_of(HOST), **told}).cold_s == cold_s
+@pytest.mark.parametrize(("fields", "cold_s"), [({}, 0.0), ({"cold_remaining_ms": 2500}, 2.5)])
+def test_cold_time_of_a_row_is_parsed(fields, cold_s):
+    assert parse_upstream("u-1", {**row_of(HOST), **fields}).cold_s == cold_s
