--- a/mulleinreach/platform/dialect.py
+++ b/mulleinreach/platform/dialect.py
@@ -22,6 +22,7 @@
 SIGNATURE = "X-Mulleinreach-Server-Signature"
 NOT_EXECUTED = "X-Mulleinreach-Not-Executed"
 LAST_EVENT_ID = "Last-Event-Id"
+# Removed from callers' requests; the gateway sets its own values.
 _GATEWAY_HEADERS = (DEADLINE_MS, TENANT, PRIORITY, EXPECT_INSTANCE, "Authorization")
 
 
--- a/mulleinreach/platform/tests/test_silent_store.py
+++ b/mulleinreach/platform/tests/test_silent_store.py
@@ -25,7 +25,7 @@
 WAIT_S = 2.0
 # Upper bound for a call on a new connection.
 ANSWER_BOUND_S = 0.1
-# A node has up to three concurrent calls: a read, a long poll and a write.
+# Number of concurrent calls, and so of connections, of a node.
 CONNECTIONS = 3
 
 
@@ -51,7 +51,7 @@
         self.links.silence(["node"], connections)
 
     async def use_connections(self) -> None:
-        """Open as many connections as a node uses at most, and leave them idle."""
+        """Open as many connections as a node uses concurrently, and leave them idle."""
         await asyncio.gather(*(self.read() for _ in range(CONNECTIONS)))
 
     async def read(self) -> StoreRow | None | Unavailable:
