--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -70,7 +70,7 @@
         "BUDGET",
         "copies that wait at replicas are taken back",
         f"{GATEWAY}/node.py",
-        "count = self.active.withdraw_content(content)",
+        "count = self.active.abort_content(content)",
         "count = 0",
         f"{CRASHING} -k taken_back",
     ),
--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -271,7 +271,7 @@
         "CREDIT",
         "a request that others make late stands back",
         f"{GATEWAY}/request/sending.py",
-        "return is_kept_waiting(job.admitted.route, job.admitted.priority, waited_s + wait_s)",
+        "return would_miss_objective(job.admitted.route, job.admitted.priority, waited_s + wait_s)",
         "return False",
         f"{GATEWAY}/request/tests/test_crowded_heads.py -k stand_back_for",
     ),
--- a/benchmarks/rests.py
+++ b/benchmarks/rests.py
@@ -107,7 +107,7 @@
     print("|---|---|---|---|---|---|")
     for load in LOADS:
         for spread in SPREADS:
-            relay.RETURN_SPREAD = spread
+            relay.RETRY_SPREAD_RATIO = spread
             outcomes = [run_virtual(run(seed, load)) for seed in SEEDS]
             waits = [wait for outcome in outcomes for wait in outcome.waits_s]
             failed = statistics.mean(outcome.failed for outcome in outcomes)
--- a/mulleinreach/admission/shares.py
+++ b/mulleinreach/admission/shares.py
@@ -51,7 +51,7 @@
     in_flight: int = 0
     request_count: int = 0
     demand_rate: float = 0.0
-    demand_at: float = 0.0
+    demand_updated_at: float = 0.0
     wanted_slots: int = 0
     borrowed: dict[str, _Loan] = field(default_factory=dict)
     lent: dict[str, _Loan] = field(default_factory=dict)
@@ -75,7 +75,9 @@
             names.add(limits.name)
             usage = self._usage.get(limits.name)
             if usage is None:
-                self._usage[limits.name] = OrganisationUsage(limits, refilled_at=now, demand_at=now)
+                self._usage[limits.name] = OrganisationUsage(
+                    limits, refilled_at=now, demand_updated_at=now
+                )
                 self._usage[limits.name].tokens = self._rate(self._usage[limits.name]) * BURST_S
             else:
                 self._refill(usage)
@@ -154,17 +156,17 @@
 
     def _update_demand(self, usage: OrganisationUsage) -> None:
         now = self._clock.now()
-        passed_s = now - usage.demand_at
-        if passed_s < 0.2:
+        elapsed_s = now - usage.demand_updated_at
+        if elapsed_s < 0.2:
             return
-        rate = usage.request_count / passed_s
-        weight = min(1.0, passed_s / DEMAND_WINDOW_S)
+        rate = usage.request_count / elapsed_s
+        weight = min(1.0, elapsed_s / DEMAND_WINDOW_S)
         usage.demand_rate += weight * (rate - usage.demand_rate)
         usage.wanted_slots = max(
             usage.in_flight, usage.wanted_slots - 1 if not usage.request_count else 0
         )
         usage.request_count = 0
-        usage.demand_at = now
+        usage.demand_updated_at = now
 
     def demands(self) -> list[Demand]:
         """Return what to ask peers for: organisations that need more than they own."""
--- a/mulleinreach/common/calls.py
+++ b/mulleinreach/common/calls.py
@@ -61,7 +61,7 @@
         # When the latest answer came, on the loop's clock.
         self.answered_at = NEVER
 
-    async def ask(
+    async def request(
         self, method: str, url: str, timeout_s: float, is_long_poll: bool = False, **options
     ) -> HttpResponse | CallFailed:
         """Make one call, within its time.
--- a/mulleinreach/common/checked.py
+++ b/mulleinreach/common/checked.py
@@ -27,7 +27,7 @@
     """A document isn't what its schema says; the text names the field and says why."""
 
 
-def check(schema: type[Schema], document: object) -> Schema:
+def validate(schema: type[Schema], document: object) -> Schema:
     """Return what a document says by a schema; raises :class:`CheckError`.
 
     Examples
@@ -35,9 +35,9 @@
 
     >>> class Place(msgspec.Struct):
     ...     rank: Count
-    >>> check(Place, {"rank": 2})
+    >>> validate(Place, {"rank": 2})
     Place(rank=2)
-    >>> check(Place, {"rank": "2"})
+    >>> validate(Place, {"rank": "2"})
     Traceback (most recent call last):
     ...
     mulleinreach.common.checked.CheckError: Expected `int`, got `str` - at `$.rank`
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -31,7 +31,7 @@
 from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
-from mulleinreach.gateway.request.urgency import FirstWaits
+from mulleinreach.gateway.request.urgency import FirstWaitEstimator
 
 # Keeps the evidence at other nodes below their limit of 1.5 s until the next renewal.
 MAX_UNCONFIRMED_S = 0.7
@@ -59,7 +59,7 @@
         cold_limit: ColdRateLimit,
         permits: SendPermits,
         controller: FleetController,
-        first_waits: FirstWaits,
+        first_waits: FirstWaitEstimator,
         crashes: CrashTracker,
         on_lost: Callable[[str], None],
     ):
@@ -194,7 +194,7 @@
 
     def apply_inheritance(self, inheritance: HandoverState) -> None:
         """Apply the state that an earlier coordinator handed over."""
-        self._first_waits.take_told(inheritance.first_waits)
+        self._first_waits.take_announced(inheritance.first_waits)
         self._crashes.merge_held(inheritance.held)
 
     def take(self, report: CoordinatorReport, asked_at: float, own_loads: list[LoadReport]) -> None:
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/known/tests/test_cold.py
@@ -17,7 +17,7 @@
 from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
 from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import Configuration
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
+from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.tests.desk import echo_path, fail
 from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Upstream
@@ -314,7 +314,7 @@
     async def test(world):
         await start_cold_world(world)
         for _ in range(4):
-            await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
+            await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(MIN_WAITS)))
         for host in world.fabric.hosts.values():
             host.turn_cold(COLD_S)
         await asyncio.sleep(ROW_PROPAGATION_S + RATE_WINDOW_S)
--- a/mulleinreach/gateway/known/tests/test_evacuations.py
+++ b/mulleinreach/gateway/known/tests/test_evacuations.py
@@ -10,7 +10,7 @@
 from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.known.evacuations import NEVER, RAMP_DOWN_FRACTION, Evacuations
 from mulleinreach.gateway.ports import EvacuationRow
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
+from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.tests.desk import echo_path, fail, refuse
 from mulleinreach.gateway.tests.support import block_store_access, restore_store_access, run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
@@ -246,7 +246,7 @@
     async def test(world):
         await _serve_halls(world)
         await world.until_formed()
-        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
+        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(MIN_WAITS)))
         for hall in world.halls:
             world.evacuate(hall)
         await asyncio.sleep(BOUND_S)
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -52,7 +52,7 @@
 from mulleinreach.gateway.request.relay import Relay
 from mulleinreach.gateway.request.sending import Sender
 from mulleinreach.gateway.request.starting import StartGate
-from mulleinreach.gateway.request.urgency import FirstWaits
+from mulleinreach.gateway.request.urgency import FirstWaitEstimator
 from mulleinreach.gateway.upstream import Notice, Upstream
 
 CONNECT_TIMEOUT_S = 0.35
@@ -171,7 +171,7 @@
             keeps_connections=False, connect_timeout_s=CONNECT_TIMEOUT_S
         )
         budget = WindowedRetryBudget(self.bounds, self.clock, self._node_count)
-        self.first_waits = FirstWaits()
+        self.first_waits = FirstWaitEstimator()
         sender = Sender(
             self.chooser,
             UpstreamClient(self.session, self.ports.dialect, self._on_notice),
@@ -332,11 +332,11 @@
         return sum_loads(self.coordination.node_reports())
 
     def _on_lost(self, upstream_id: str) -> None:
-        count = self.active.withdraw(upstream_id)
+        count = self.active.abort(upstream_id)
         self.log.event("upstream_lost", upstream=upstream_id, in_flight=count)
 
     def _on_content_held(self, content: int) -> None:
-        count = self.active.withdraw_content(content)
+        count = self.active.abort_content(content)
         self.log.event("held_withdrawn", content=format_digest(content), in_flight=count)
 
     def _describe_wake(self) -> dict[str, object]:
--- a/mulleinreach/gateway/request/active.py
+++ b/mulleinreach/gateway/request/active.py
@@ -26,9 +26,9 @@
     def __init__(self, upstream_id: str, content: int):
         self.upstream_id = upstream_id
         self.content = content
-        self.is_withdrawn = False
+        self.is_aborted = False
         # Whether anything of the answer's body has come.
-        self.has_given = False
+        self.has_received_body = False
         # Whether the upstream's connection ended before the answer did.
         self.is_cut = False
         self._task: asyncio.Task | None = None
@@ -46,7 +46,7 @@
         try:
             result = await self._task
         except asyncio.CancelledError:
-            if self.is_withdrawn and not asyncio.current_task().cancelling():
+            if self.is_aborted and not asyncio.current_task().cancelling():
                 return Broken("the upstream was lost")
             raise
         if isinstance(result, Streaming):
@@ -56,11 +56,11 @@
     @property
     def is_cut_by_upstream(self) -> bool:
         """Whether the answer was cut, and not by this node."""
-        return self.is_cut and not self.is_withdrawn
+        return self.is_cut and not self.is_aborted
 
-    def withdraw(self) -> None:
+    def abort(self) -> None:
         """End the exchange because its upstream is lost, or the request ends upstreams."""
-        self.is_withdrawn = True
+        self.is_aborted = True
         if self._streaming is not None:
             self._streaming.close()
         elif self._task is not None:
@@ -86,21 +86,21 @@
         if not exchanges:
             self._by_upstream.pop(exchange.upstream_id, None)
 
-    def withdraw(self, upstream_id: str) -> int:
+    def abort(self, upstream_id: str) -> int:
         """End all exchanges with a lost upstream; returns how many there were."""
         exchanges = list(self._by_upstream.get(upstream_id, ()))
         for exchange in exchanges:
-            exchange.withdraw()
+            exchange.abort()
         return len(exchanges)
 
-    def withdraw_content(self, content: int) -> int:
+    def abort_content(self, content: int) -> int:
         """End all exchanges for a request that have given nothing; returns how many there were."""
         exchanges = [
             exchange
             for at_upstream in self._by_upstream.values()
             for exchange in at_upstream
-            if exchange.content == content and not exchange.has_given
+            if exchange.content == content and not exchange.has_received_body
         ]
         for exchange in exchanges:
-            exchange.withdraw()
+            exchange.abort()
         return len(exchanges)
--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -12,7 +12,7 @@
 
 # A node whose evidence is older than it gets while all is well may have missed a
 # new route or key.
-CURRENT_EVIDENCE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
+MAX_CURRENT_EVIDENCE_AGE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
 RETRY_AFTER_S = 0.3
 
 
@@ -23,14 +23,14 @@
     Parameters
     ==========
 
-    homes : the regions whose upstreams may serve it; ``None`` if any may.
+    allowed_regions : the regions whose upstreams may serve it; ``None`` if any may.
     """
 
     configuration: Configuration
     route: Route
     organisation: str | None
     priority: int
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     retry_after_s: float | None = None
 
 
-def common_homes(
+def common_regions(
     first: frozenset[str] | None, second: frozenset[str] | None
 ) -> frozenset[str] | None:
     """Return the regions that both allow, ``None`` if neither names any.
@@ -50,9 +50,9 @@
     Examples
     ========
 
-    >>> sorted(common_homes(frozenset({"a", "b"}), frozenset({"b", "c"})))
+    >>> sorted(common_regions(frozenset({"a", "b"}), frozenset({"b", "c"})))
     ['b']
-    >>> sorted(common_homes(None, frozenset({"c"})))
+    >>> sorted(common_regions(None, frozenset({"c"})))
     ['c']
     """
     if first is None or second is None:
@@ -94,8 +94,8 @@
             return self._deny(401, "unknown key")
         own_priority = organisation.priority
         priority = route.priority if own_priority is None else own_priority
-        homes = common_homes(route.allowed_regions, organisation.allowed_regions)
-        return Admitted(configuration, route, organisation.name, priority, homes)
+        allowed_regions = common_regions(route.allowed_regions, organisation.allowed_regions)
+        return Admitted(configuration, route, organisation.name, priority, allowed_regions)
 
     def _key_evidence_age_s(self) -> float:
         """Return how long ago no key can have been taken away without our knowing it."""
@@ -105,6 +105,6 @@
         return age_s
 
     def _deny(self, status: int, reason: str) -> Denied:
-        if self._in_force.evidence_age_s() > CURRENT_EVIDENCE_S:
+        if self._in_force.evidence_age_s() > MAX_CURRENT_EVIDENCE_AGE_S:
             return Denied(503, f"{reason} in an old configuration", RETRY_AFTER_S)
         return Denied(status, reason)
--- a/mulleinreach/gateway/request/budget.py
+++ b/mulleinreach/gateway/request/budget.py
@@ -8,7 +8,7 @@
 from mulleinreach.common import Clock
 from mulleinreach.gateway.deployment import DeploymentBounds
 
-SAFETY = 0.7
+SAFETY_FACTOR = 0.7
 
 
 class WindowedRetryBudget:
@@ -18,7 +18,7 @@
     ===========
 
     The operators' bound holds for all nodes together. A node uses its own
-    requests for the ratio, and an equal part of the slack. ``SAFETY`` covers
+    requests for the ratio, and an equal part of the slack. ``SAFETY_FACTOR`` covers
     nodes that count different requests in their windows.
     """
 
@@ -38,7 +38,7 @@
         requests = len(self._recent(self._requests, service))
         retries = self._recent(self._retries, service)
         slack = self._bounds.retry_slack / max(1, self._node_count())
-        if len(retries) + 1 > SAFETY * (self._bounds.retry_ratio * requests + slack):
+        if len(retries) + 1 > SAFETY_FACTOR * (self._bounds.retry_ratio * requests + slack):
             return False
         retries.append(self._clock.now())
         return True
--- a/mulleinreach/gateway/request/connections.py
+++ b/mulleinreach/gateway/request/connections.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.common import Clock
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 
 
 class CallerConnections:
@@ -26,26 +26,26 @@
     def __init__(self, clock: Clock):
         self._clock = clock
         self._busy: set[RequestHandler] = set()
-        self._resting_since: dict[RequestHandler, float] = {}
+        self._idle_since: dict[RequestHandler, float] = {}
 
     def begin(self, connection: RequestHandler) -> None:
         """Note that a request has come over a connection."""
         self._busy.add(connection)
-        self._resting_since.pop(connection, None)
+        self._idle_since.pop(connection, None)
 
     def end(self, connection: RequestHandler) -> None:
         """Note that the request was answered."""
         self._busy.discard(connection)
-        self._resting_since[connection] = self._clock.now()
+        self._idle_since[connection] = self._clock.now()
 
     def close_idle(self, connections: Iterable[RequestHandler], idle_timeout_s: float) -> None:
         """Close those that have rested for too long."""
         now = self._clock.now()
         open_now = [c for c in connections if c not in self._busy]
-        self._resting_since = {c: self._resting_since.get(c, now) for c in open_now}
-        idle = [c for c, since in self._resting_since.items() if now - since > idle_timeout_s]
+        self._idle_since = {c: self._idle_since.get(c, now) for c in open_now}
+        idle = [c for c, since in self._idle_since.items() if now - since > idle_timeout_s]
         for connection in idle:
-            del self._resting_since[connection]
+            del self._idle_since[connection]
             connection.force_close()
 
     def close_all(self, connections: Iterable[RequestHandler]) -> None:
@@ -70,5 +70,5 @@
         idle_timeout_s : returns the idle time in force.
         """
         while True:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             self.close_idle(list(server.connections), idle_timeout_s())
--- a/mulleinreach/gateway/request/ends.py
+++ b/mulleinreach/gateway/request/ends.py
@@ -9,7 +9,7 @@
 
 # An ended process refuses a connection within a round trip, some milliseconds between halls. The
 # request that waits for this is sent elsewhere afterwards.
-REFUSAL_S = 0.1
+PROBE_TIMEOUT_S = 0.1
 
 
 class EndedProbe:
@@ -21,7 +21,7 @@
     async def has_ended(self, upstream: Upstream) -> bool:
         """Whether an upstream refuses connections; silence shows nothing."""
         try:
-            async with asyncio.timeout(REFUSAL_S):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await self._network.connect(upstream.address)
         except ConnectionRefusedError:
             return True
--- a/mulleinreach/gateway/request/exchange.py
+++ b/mulleinreach/gateway/request/exchange.py
@@ -92,7 +92,7 @@
         protocol = self.response.connection.protocol if self.response.connection else None
         while data := await self._next_chunk(pause_limit_s):
             yield data
-        _check_end(self.response, protocol)
+        _check_not_reset(self.response, protocol)
 
     async def _next_chunk(self, pause_limit_s: float) -> bytes:
         """Return what came next, nothing at the end."""
@@ -123,7 +123,7 @@
 ExchangeResult = NotSent | Refused | Broken | Answered | Streaming
 
 
-def _check_end(response: aiohttp.ClientResponse, protocol) -> None:
+def _check_not_reset(response: aiohttp.ClientResponse, protocol) -> None:
     """Raise :class:`AnswerCut` if a body without length ended with a reset.
 
     Such a body ends with its connection; aiohttp ends it in the same way whether
@@ -208,7 +208,7 @@
                 size += len(data)
                 if size > MAX_ANSWER_BYTES:
                     return Broken(f"an answer over {MAX_ANSWER_BYTES} bytes")
-            _check_end(response, protocol)
+            _check_not_reset(response, protocol)
         except (aiohttp.ClientError, OSError, ValueError, AnswerCut) as error:
             return Broken(f"{type(error).__name__}: {error}", is_closed=True)
         return Answered(response.status, response.headers, b"".join(parts))
--- a/mulleinreach/gateway/request/job.py
+++ b/mulleinreach/gateway/request/job.py
@@ -80,15 +80,15 @@
     last_event_at: float | None = None
     longest_pause_s: float = 0.0
     # Whether a stream was left since nothing came; its replica may still run the request.
-    fell_silent: bool = False
+    has_stalled: bool = False
     # How many replicas broke the stream off after it had begun; they no longer run it.
     lost_runs: int = 0
     upstream_id: str = ""
 
     @property
-    def terms(self) -> RequestConstraints:
+    def constraints(self) -> RequestConstraints:
         """What decides on its upstreams."""
-        return RequestConstraints(self.service, self.admitted.homes)
+        return RequestConstraints(self.service, self.admitted.allowed_regions)
 
     def note_events(self, count: int, now: float) -> None:
         """Note that events were passed on to the caller."""
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -23,11 +23,11 @@
 # Seconds, and the share of what is left of a caller's time, that a late request waits at most.
 # Worth 0.014 of a day's worth on a site that weighs its worst seconds most (ten days), and
 # nothing measurable on another.
-PATIENCE_S = 1.0
-SHARE_OF_WAIT = 0.25
-SHORTEST_PAUSE_S, LONGEST_PAUSE_S = 0.03, 0.09
+MAX_WAIT_S = 1.0
+MAX_WAIT_FRACTION = 0.25
+MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S = 0.03, 0.09
 # The share of a head's places that late requests may fill.
-ROOM_SHARE = 0.6
+MAX_LATE_SLOT_FRACTION = 0.6
 
 
 class LateGate:
@@ -42,19 +42,22 @@
         self._rng = rng
 
     async def wait(
-        self, terms: RequestConstraints, headers: CallerHeaders, remaining_s: float
+        self, constraints: RequestConstraints, headers: CallerHeaders, remaining_s: float
     ) -> None:
         """Wait for a head with free places, or until the patience is over."""
-        until = self._clock.now() + min(PATIENCE_S, SHARE_OF_WAIT * remaining_s)
-        while self._clock.now() < until and self._is_full(terms, headers):
-            await asyncio.sleep(self._rng.uniform(SHORTEST_PAUSE_S, LONGEST_PAUSE_S))
+        until = self._clock.now() + min(MAX_WAIT_S, MAX_WAIT_FRACTION * remaining_s)
+        while self._clock.now() < until and self._is_full(constraints, headers):
+            await asyncio.sleep(self._rng.uniform(MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S))
 
-    def _is_full(self, terms: RequestConstraints, headers: CallerHeaders) -> bool:
+    def _is_full(self, constraints: RequestConstraints, headers: CallerHeaders) -> bool:
         """Whether the head that is drawn is nearly full; a model without heads has none to fill.
 
         A request that no head may take is refused sooner than it would be after a wait.
         """
-        head = self._chooser.choose(terms, headers, set())
+        head = self._chooser.choose(constraints, headers, set())
         if head is None:
             return False
-        return self._loads.running(head.id) >= ROOM_SHARE * terms.service.engine.slots
+        return (
+            self._loads.running(head.id)
+            >= MAX_LATE_SLOT_FRACTION * constraints.service.engine.slots
+        )
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -31,7 +31,7 @@
 from mulleinreach.gateway.request.late import LateGate
 from mulleinreach.gateway.request.sending import MIN_REMAINING_S, Sender
 from mulleinreach.gateway.request.starting import StartGate
-from mulleinreach.gateway.request.urgency import FirstWaits
+from mulleinreach.gateway.request.urgency import FirstWaitEstimator
 
 # A stream without a byte for so long is continued elsewhere. A group that lost a member is noticed
 # within a second; callers leave after two seconds and more. Without it, a stream whose
@@ -44,9 +44,9 @@
 # first may be sent to again, and be turned away once more. They come back over so many times the
 # rest. On memory, three bounded upstreams at half of their load, 5 of 1,080 callers give up
 # instead of 455 (0.3: 191); at a fifth none instead of 28, who wait 0.5 s longer than with 0.3.
-RETURN_SPREAD = 1.0
+RETRY_SPREAD_RATIO = 1.0
 # No caller waits longer, and an upstream may be replaced before a longer rest is over.
-LONGEST_RETRY_AFTER_S = 60.0
+MAX_RETRY_AFTER_S = 60.0
 
 
 def _header_bytes(request: web.BaseRequest) -> int:
@@ -67,7 +67,7 @@
         sender: Sender,
         dialect: Dialect,
         budget: WindowedRetryBudget,
-        first_waits: FirstWaits,
+        first_waits: FirstWaitEstimator,
         start_gate: StartGate,
         late_gate: LateGate,
         metrics: GatewayMetrics,
@@ -118,12 +118,12 @@
                 why=decision.reason,
                 evidence_age_s=self._admission.evidence_age_s(),
             )
-            return self._own_answer(headers, decision.status, decision.retry_after_s)
+            return self._gateway_answer(headers, decision.status, decision.retry_after_s)
         if _header_bytes(request) > decision.configuration.limits.header_bytes:
-            return self._own_answer(headers, 431, None)
+            return self._gateway_answer(headers, 431, None)
         body = await self._read_body(request, decision)
         if body is None:
-            return self._own_answer(headers, 413, None)
+            return self._gateway_answer(headers, 413, None)
         job = self._make_job(request, headers, decision, body, started_at)
         if self._sender.is_held(job):
             return self._refuse_held(job)
@@ -133,7 +133,7 @@
             response = await self._relay_stream(job)
         else:
             response = await self._relay_plain(job)
-        self._note(job, response, started_at)
+        self._record_completion(job, response, started_at)
         return response
 
     def _refuse_held(self, job: RelayJob) -> web.Response:
@@ -146,9 +146,11 @@
             status=HTTPStatus.SERVICE_UNAVAILABLE.value,
             why="upstreams end under it",
         )
-        return self._own_answer(job.headers, HTTPStatus.SERVICE_UNAVAILABLE, HELD_RETRY_AFTER_S)
+        return self._gateway_answer(job.headers, HTTPStatus.SERVICE_UNAVAILABLE, HELD_RETRY_AFTER_S)
 
-    def _note(self, job: RelayJob, response: web.StreamResponse, started_at: float) -> None:
+    def _record_completion(
+        self, job: RelayJob, response: web.StreamResponse, started_at: float
+    ) -> None:
         elapsed_s = self._clock.now() - started_at
         kind = job.admitted.route.kind
         self._metrics.count_answer(kind, response.status, elapsed_s, job.sends)
@@ -216,23 +218,23 @@
             result = await self._sender.send_once(job, upstream)
             if isinstance(result, Answered):
                 self._sender.note_served(job, upstream)
-                if not self._is_worth_repeating(job, result):
-                    return self._pass_on(result)
+                if not self._is_retryable(job, result):
+                    return self._forward(result)
                 job.failure = result
-            elif not self._sender.may_continue(job, result):
+            elif not self._sender.may_retry(job, result):
                 break
         return self._final_failure(job)
 
-    def _is_worth_repeating(self, job: RelayJob, result: Answered) -> bool:
+    def _is_retryable(self, job: RelayJob, result: Answered) -> bool:
         """Whether a failure may be tried elsewhere."""
         return result.status >= 500 and job.admitted.route.is_repeatable
 
     async def _relay_stream(self, job: RelayJob) -> web.StreamResponse:
         response: web.StreamResponse | None = None
         if job.service.engine is not None and self._sender.is_late(job):
-            self._sender.tell_held_back(job)
+            self._sender.log_held_back(job)
             remaining_s = job.deadline - self._clock.now()
-            await self._late_gate.wait(job.terms, job.headers, remaining_s)
+            await self._late_gate.wait(job.constraints, job.headers, remaining_s)
         while (upstream := self._sender.next_upstream(job)) is not None:
             exchange, ticket = self._sender.begin(job, upstream)
             try:
@@ -250,17 +252,17 @@
                     if exchange.is_cut_by_upstream:
                         outcome = (
                             RunOutcome.ENDED_GIVING
-                            if exchange.has_given
+                            if exchange.has_received_body
                             else RunOutcome.ENDED_BEGUN
                         )
-                        await self._sender.look_for_end(job, upstream, outcome)
+                        await self._sender.check_ended(job, upstream, outcome)
             finally:
                 self._sender.end(exchange, ticket)
             if isinstance(result, Answered):
-                if response is None and not self._is_worth_repeating(job, result):
-                    return self._pass_on(result)
+                if response is None and not self._is_retryable(job, result):
+                    return self._forward(result)
                 job.failure = result
-            elif not self._sender.may_continue(job, result):
+            elif not self._sender.may_retry(job, result):
                 break
         if response is None:
             return self._final_failure(job)
@@ -292,11 +294,11 @@
         try:
             async with asyncio.timeout(max(0, job.deadline - self._clock.now())):
                 async for data in result.chunks(PAUSE_LIMIT_S):
-                    exchange.has_given = True
+                    exchange.has_received_body = True
                     ticket.progress()
                     await self._write_events(job, splitter, data, response)
         except (AnswerCut, TimeoutError) as error:
-            job.fell_silent |= isinstance(error, AnswerSilent)
+            job.has_stalled |= isinstance(error, AnswerSilent)
             exchange.is_cut = isinstance(error, AnswerCut) and not isinstance(error, AnswerSilent)
             self._log.event(
                 "stream_broken",
@@ -310,7 +312,7 @@
             return False
         finally:
             result.close()
-        return not exchange.is_withdrawn and not splitter.rest
+        return not exchange.is_aborted and not splitter.rest
 
     async def _write_events(
         self, job: RelayJob, splitter: EventSplitter, data: bytes, response: web.StreamResponse
@@ -324,7 +326,7 @@
                 job.last_event_id = event.id
         job.note_events(len(events), self._clock.now())
 
-    def _pass_on(self, result: Answered) -> web.Response:
+    def _forward(self, result: Answered) -> web.Response:
         return web.Response(
             status=result.status, headers=end_to_end_headers(result.headers), body=result.body
         )
@@ -332,23 +334,23 @@
     def _final_failure(self, job: RelayJob) -> web.Response:
         """Return the answer to a request that is given up."""
         if job.failure is not None:
-            return self._pass_on(job.failure)
+            return self._forward(job.failure)
         if not job.may_have_run:
             if self._sender.is_held(job):
                 return self._refuse_held(job)
-            return self._own_answer(job.headers, 503, self._retry_after_s(job))
+            return self._gateway_answer(job.headers, 503, self._retry_after_s(job))
         is_late = job.deadline - self._clock.now() < MIN_REMAINING_S
-        return self._own_answer(job.headers, 504 if is_late else 502, None)
+        return self._gateway_answer(job.headers, 504 if is_late else 502, None)
 
     def _retry_after_s(self, job: RelayJob) -> float:
         """Return when a caller whose request has not run should ask again."""
         rest = self._sender.rest(job)
         if rest is None:
             return RETRY_AFTER_S
-        until_s = rest.remaining_s + self._rng.uniform(0, RETURN_SPREAD * rest.requested_s)
-        return min(until_s, LONGEST_RETRY_AFTER_S)
+        until_s = rest.remaining_s + self._rng.uniform(0, RETRY_SPREAD_RATIO * rest.requested_s)
+        return min(until_s, MAX_RETRY_AFTER_S)
 
-    def _own_answer(
+    def _gateway_answer(
         self, headers: CallerHeaders, status: int, retry_after_s: float | None
     ) -> web.Response:
         answer_headers = self._dialect.refusal_headers(headers.request_id)
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -29,22 +29,22 @@
 )
 from mulleinreach.gateway.request.job import RelayJob, end_to_end_headers
 from mulleinreach.gateway.request.urgency import (
-    FirstWaits,
+    FirstWaitEstimator,
     Lateness,
     engine_priority,
-    is_kept_waiting,
+    would_miss_objective,
 )
 from mulleinreach.gateway.upstream import Upstream
 
 MIN_REMAINING_S = 0.005
 # How often a request that waits for the head of its answer looks whether its upstream is silent.
-SILENCE_STEP_S = 0.4
+SILENCE_CHECK_INTERVAL_S = 0.4
 # A stream without a head is moved to another upstream, if one may take it, once no request of
 # this node at its upstream has had a byte for so long.
 SILENCE_LIMIT_S = 1.3
 # Streams may be sent once more for each replica that they lost, up to so often: one that was cut
 # off no longer runs the request. One that failed has run it, and counts.
-EXTRA_RESUMES = 2
+MAX_EXTRA_RESUMES = 2
 
 
 class Sender:
@@ -59,7 +59,7 @@
         active: ActiveExchanges,
         suspects: SuspectList,
         budget: WindowedRetryBudget,
-        first_waits: FirstWaits,
+        first_waits: FirstWaitEstimator,
         crashes: CrashTracker,
         probe: EndedProbe,
         metrics: GatewayMetrics,
@@ -86,7 +86,7 @@
         That takes one answer of the coordinator at most, and no time while it has told that
         permits are short.
         """
-        awaited = await self._chooser.wait_for_permit(job.terms, job.headers)
+        awaited = await self._chooser.wait_for_permit(job.constraints, job.headers)
         if awaited is not None:
             self._log.event(
                 "permit_awaited",
@@ -101,13 +101,13 @@
         if job.deadline - self._clock.now() < MIN_REMAINING_S:
             return None
         limit = job.admitted.route.max_attempts
-        if job.events_sent and not job.fell_silent:
-            limit += min(job.lost_runs, EXTRA_RESUMES)
+        if job.events_sent and not job.has_stalled:
+            limit += min(job.lost_runs, MAX_EXTRA_RESUMES)
         if job.sends >= limit:
             return None
         if self._crashes.is_held(job.content):
             return None
-        upstream = self._chooser.choose(job.terms, job.headers, job.tried, job.ended_halls)
+        upstream = self._chooser.choose(job.constraints, job.headers, job.tried, job.ended_halls)
         if upstream is None:
             self._log_shortage(job)
             return None
@@ -117,7 +117,7 @@
 
     def _log_shortage(self, job: RelayJob) -> None:
         """Tell why a request finds no upstream."""
-        shortage = self._chooser.exclusion_summary(job.terms, job.headers, job.tried)
+        shortage = self._chooser.exclusion_summary(job.constraints, job.headers, job.tried)
         engine = job.service.engine
         # Callers may name anything as a model.
         model = engine.model(job.headers.model or "") if engine else None
@@ -132,7 +132,7 @@
             evacuated_halls=",".join(shortage.evacuated_halls),
         )
 
-    def may_continue(self, job: RelayJob, result: ExchangeResult) -> bool:
+    def may_retry(self, job: RelayJob, result: ExchangeResult) -> bool:
         """Whether the request may be sent again after an exchange without an answer."""
         if isinstance(result, NotSent | Refused):
             return True
@@ -153,7 +153,7 @@
         job.sends += 1
         job.upstream_id = upstream.id
         lateness = self.lateness(job)
-        wait_s = self._chooser.predicted_wait_s(job.terms, upstream.id)
+        wait_s = self._chooser.predicted_wait_s(job.constraints, upstream.id)
         stands_back = self._stands_back(job, lateness, wait_s)
         job.priority = self._priority(job, stands_back)
         self._log.event(
@@ -174,7 +174,7 @@
             priority=job.priority,
             after=job.last_event_id or "",
         )
-        self._chooser.note_sent(job.terms, upstream)
+        self._chooser.note_sent(job.constraints, upstream)
         if self._chooser.is_evacuated(upstream):
             self._metrics.count_evacuated_send(upstream.hall)
         # An answer that is taken whole doesn't tell when the engine lets its request in.
@@ -191,7 +191,7 @@
         """Avoid an upstream whose stream was cut."""
         self._suspects.add(upstream_id)
 
-    async def look_for_end(self, job: RelayJob, upstream: Upstream, outcome: RunOutcome) -> None:
+    async def check_ended(self, job: RelayJob, upstream: Upstream, outcome: RunOutcome) -> None:
         """Find out whether an upstream that closed a request's connection has ended.
 
         Parameters
@@ -223,7 +223,7 @@
 
     def rest(self, job: RelayJob) -> Rest | None:
         """Return the rest that ends first, if all upstreams that could serve a request rest."""
-        return self._chooser.rest(job.terms, job.headers)
+        return self._chooser.rest(job.constraints, job.headers)
 
     async def open_stream(
         self, job: RelayJob, exchange: ActiveExchange, upstream: Upstream, ticket: InFlightRequest
@@ -232,11 +232,11 @@
         sending = asyncio.ensure_future(self._send(job, exchange, upstream, wants_stream=True))
         try:
             while True:
-                done, _ = await asyncio.wait({sending}, timeout=SILENCE_STEP_S)
+                done, _ = await asyncio.wait({sending}, timeout=SILENCE_CHECK_INTERVAL_S)
                 if done:
                     return sending.result()
                 if self._is_silent(upstream.id) and self._can_move(job):
-                    exchange.withdraw()
+                    exchange.abort()
         finally:
             sending.cancel()
 
@@ -244,7 +244,7 @@
         """Whether a stream could be moved to another replica."""
         if not job.admitted.route.is_repeatable:
             return False
-        return self._chooser.choose(job.terms, job.headers, job.tried) is not None
+        return self._chooser.choose(job.constraints, job.headers, job.tried) is not None
 
     def _is_silent(self, upstream_id: str) -> bool:
         """Whether none of our requests at an upstream has had a byte for too long."""
@@ -254,25 +254,25 @@
         self, job: RelayJob, exchange: ActiveExchange, upstream: Upstream, wants_stream: bool
     ) -> ExchangeResult:
         remaining_s = job.deadline - self._clock.now()
-        request = self._outgoing(job, upstream, remaining_s)
+        request = self._build_request(job, upstream, remaining_s)
         try:
-            async with asyncio.timeout(self._patience_s(job, remaining_s)):
+            async with asyncio.timeout(self._answer_timeout_s(job, remaining_s)):
                 result = await exchange.send(self._client, upstream, request, wants_stream)
         except TimeoutError:
             result = Broken("no answer in time")
-        self._take_result(job, upstream, result)
+        self._record_result(job, upstream, result)
         if isinstance(result, Broken) and result.is_closed:
-            await self.look_for_end(job, upstream, RunOutcome.ENDED)
+            await self.check_ended(job, upstream, RunOutcome.ENDED)
         return result
 
-    def _patience_s(self, job: RelayJob, remaining_s: float) -> float:
+    def _answer_timeout_s(self, job: RelayJob, remaining_s: float) -> float:
         """Return how long to wait for an answer before another upstream is tried."""
         route = job.admitted.route
         if route.kind is RouteKind.SAFE and job.sends < route.max_attempts:
             return min(remaining_s, max(3 * route.objective_s, remaining_s / 2))
         return remaining_s
 
-    def _take_result(self, job: RelayJob, upstream: Upstream, result: ExchangeResult) -> None:
+    def _record_result(self, job: RelayJob, upstream: Upstream, result: ExchangeResult) -> None:
         if isinstance(result, NotSent):
             job.sends -= 1
         if isinstance(result, NotSent | Refused | Broken):
@@ -305,7 +305,7 @@
         if lateness.is_late or job.sends > 1:
             return lateness.is_late
         waited_s = self._clock.now() - job.started_at
-        return is_kept_waiting(job.admitted.route, job.admitted.priority, waited_s + wait_s)
+        return would_miss_objective(job.admitted.route, job.admitted.priority, waited_s + wait_s)
 
     def _priority(self, job: RelayJob, stands_back: bool) -> int:
         return engine_priority(job.admitted.priority, stands_back, is_moved=job.events_sent > 0)
@@ -319,7 +319,7 @@
         """Whether the answer can't come in time any more."""
         return self.lateness(job).is_late
 
-    def tell_held_back(self, job: RelayJob) -> None:
+    def log_held_back(self, job: RelayJob) -> None:
         """Log that a late request waits at this node for a head with free places, and why."""
         lateness = self.lateness(job)
         self._log.event(
@@ -331,7 +331,9 @@
             objective_ms=round(lateness.objective_s * 1000),
         )
 
-    def _outgoing(self, job: RelayJob, upstream: Upstream, remaining_s: float) -> OutgoingRequest:
+    def _build_request(
+        self, job: RelayJob, upstream: Upstream, remaining_s: float
+    ) -> OutgoingRequest:
         headers = self._dialect.forward_headers(
             end_to_end_headers(job.request.headers),
             upstream.id,
--- a/mulleinreach/gateway/request/starting.py
+++ b/mulleinreach/gateway/request/starting.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-PATIENCE_S = 0.4
+MAX_WAIT_S = 0.4
 
 
 class StartGate:
@@ -21,19 +21,19 @@
     ==========
 
     events : all are set once the node knows enough.
-    patience_s : the longest time that a request is held back.
+    max_wait_s : the longest time that a request is held back.
     """
 
-    def __init__(self, events: list[asyncio.Event], patience_s: float = PATIENCE_S):
+    def __init__(self, events: list[asyncio.Event], max_wait_s: float = MAX_WAIT_S):
         self._events = events
-        self._patience_s = patience_s
+        self._max_wait_s = max_wait_s
 
     async def wait(self) -> None:
         """Wait until the node knows enough, or the patience is over."""
         if all(event.is_set() for event in self._events):
             return
         try:
-            async with asyncio.timeout(self._patience_s):
+            async with asyncio.timeout(self._max_wait_s):
                 for event in self._events:
                     await event.wait()
         except TimeoutError:
--- a/mulleinreach/gateway/request/tests/test_admission.py
+++ b/mulleinreach/gateway/request/tests/test_admission.py
@@ -24,7 +24,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_key_taken_away_is_denied_at_once():
+def test_revoked_key_is_denied_at_once():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         assert (await world.call("/order/1")).status == 200
@@ -35,7 +35,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_key_is_not_trusted_while_the_store_is_silent():
+def test_key_is_refused_while_the_store_does_not_answer():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         bound_s = world.nodes["node-0"].bounds.max_key_evidence_age_s
@@ -51,7 +51,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_older_configuration_is_put_aside():
+def test_older_configuration_is_discarded():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         world.store.put(CONFIGURATION, "newest", make_configuration(5))
@@ -63,7 +63,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_lost_history_is_read_anew():
+def test_configuration_is_read_again_after_lost_history():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         world.store.history_from = world.store.version + 5
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -11,7 +11,7 @@
 from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.fleet.loads import RATE_WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
-from mulleinreach.gateway.request.sending import EXTRA_RESUMES
+from mulleinreach.gateway.request.sending import MAX_EXTRA_RESUMES
 from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import DEADLINE_MS, REQUEST_ID, SIGNATURE
@@ -19,30 +19,30 @@
 from mulleinreach.standins.virtual import run_virtual
 
 NODES = 9
-CEILING_OVERAGE = 1.1
+RATE_TOLERANCE = 1.1
 NO_HOSTS = {"nodes": 1, "domains": 0}
 
 
-def _most_in_window(times: list[float], window_s: float) -> int:
+def max_count_in_window(times: list[float], window_s: float) -> int:
     return max((sum(t <= other < t + window_s for other in times) for t in times), default=0)
 
 
-def test_second_sends_of_all_nodes_keep_within_the_budget():
+def test_second_sends_of_all_nodes_stay_within_the_retry_budget():
     async def test():
         bounds, clock, rng = DeploymentBounds(), VirtualClock(), random.Random(3)
         budgets = [WindowedRetryBudget(bounds, clock, lambda: NODES) for _ in range(NODES)]
-        requests, seconds = [], []
+        requests_at, second_sends_at = [], []
         for _ in range(6000):
             # Shares are uneven, and each request would be sent a second time.
             budget = budgets[min(int(rng.expovariate(0.5)), NODES - 1)]
             budget.count_request("service")
-            requests.append(clock.now())
+            requests_at.append(clock.now())
             if budget.try_spend("service"):
-                seconds.append(clock.now())
+                second_sends_at.append(clock.now())
             await asyncio.sleep(0.01)
-        in_window = len(requests) * bounds.retry_window_s / clock.now()
-        most = _most_in_window(seconds, bounds.retry_window_s)
-        assert 0 < most <= bounds.retry_ratio * in_window + bounds.retry_slack
+        in_window = len(requests_at) * bounds.retry_window_s / clock.now()
+        max_count = max_count_in_window(second_sends_at, bounds.retry_window_s)
+        assert 0 < max_count <= bounds.retry_ratio * in_window + bounds.retry_slack
 
     run_virtual(test())
 
@@ -67,17 +67,17 @@
         await world.stream(30)
         route = next(r for r in make_configuration().routes if r.name == "stream")
         (runs,) = world.fabric.checks.runs.values()
-        assert 1 < len(runs) <= route.max_attempts + EXTRA_RESUMES
+        assert 1 < len(runs) <= route.max_attempts + MAX_EXTRA_RESUMES
 
     run_world(test, domains=6)
 
 
-def test_second_send_is_told_only_the_time_that_remains():
+def test_second_send_announces_only_the_remaining_deadline():
     async def test(world):
-        told_ms: list[int] = []
+        announced_ms: list[int] = []
 
         async def fail_slowly(request):
-            told_ms.append(int(request.headers[DEADLINE_MS]))
+            announced_ms.append(int(request.headers[DEADLINE_MS]))
             await asyncio.sleep(0.6)
             return await _fail(request)
 
@@ -85,8 +85,8 @@
             await world.add_plain(f"desk-{number}", fail_slowly)
         await asyncio.sleep(0.5)
         await world.call("/stock/1", method="GET", deadline_s=1.5)
-        assert told_ms[0] <= 1500
-        assert told_ms[1] <= 1500 - 600
+        assert announced_ms[0] <= 1500
+        assert announced_ms[1] <= 1500 - 600
 
     run_world(test, **NO_HOSTS)
 
@@ -96,36 +96,36 @@
     return web.Response(status=500, headers=headers)
 
 
-def test_loads_of_weights_keep_below_the_ceiling():
+def test_weight_loads_stay_below_the_rate_limit():
     async def test():
         clock = VirtualClock()
-        gate = WeightLoadLimiter(clock)
-        begun = []
+        limiter = WeightLoadLimiter(clock)
+        loads_started_at = []
         for _ in range(4000):
-            if gate.may_begin(PROFILE):
-                gate.begin()
-                begun.append(clock.now())
-                asyncio.get_running_loop().call_later(0.3, gate.end)
+            if limiter.may_begin(PROFILE):
+                limiter.begin()
+                loads_started_at.append(clock.now())
+                asyncio.get_running_loop().call_later(0.3, limiter.end)
             await asyncio.sleep(0.01)
-        most = _most_in_window(begun, RATE_WINDOW_S)
-        assert 0 < most <= PROFILE.loads_per_s * RATE_WINDOW_S * CEILING_OVERAGE
+        max_count = max_count_in_window(loads_started_at, RATE_WINDOW_S)
+        assert 0 < max_count <= PROFILE.loads_per_s * RATE_WINDOW_S * RATE_TOLERANCE
 
     run_virtual(test())
 
 
-def test_loads_at_once_are_bounded():
+def test_concurrent_weight_loads_are_bounded():
     async def test():
-        gate = WeightLoadLimiter(VirtualClock())
+        limiter = WeightLoadLimiter(VirtualClock())
         running = 0
-        while gate.may_begin(PROFILE):
-            gate.begin()
+        while limiter.may_begin(PROFILE):
+            limiter.begin()
             running += 1
         assert running <= PROFILE.max_concurrent_loads
 
     run_virtual(test())
 
 
-def test_stream_that_fails_beside_a_lost_replica_runs_no_more_often_than_its_route_allows():
+def test_failing_stream_with_a_lost_replica_keeps_to_the_attempts_of_its_route():
     """Only a replica that was lost excuses one more; one that failed has run the request.
 
     Seen in a hunt: a failure, a replica that crashed amid the stream, a failure and a fourth run.
@@ -142,7 +142,7 @@
         route = next(r for r in make_configuration().routes if r.name == "stream")
         runs = world.fabric.checks.runs.values()
         assert any(breaking.id in ran_at and len(ran_at) > 1 for ran_at in runs)
-        kept = [[host for host in ran_at if host != breaking.id] for ran_at in runs]
-        assert max(map(len, kept)) <= route.max_attempts
+        runs_elsewhere = [[host for host in ran_at if host != breaking.id] for ran_at in runs]
+        assert max(map(len, runs_elsewhere)) <= route.max_attempts
 
     run_world(test, nodes=1, domains=4)
--- a/mulleinreach/gateway/request/tests/test_callers.py
+++ b/mulleinreach/gateway/request/tests/test_callers.py
@@ -17,7 +17,7 @@
 SMALL_BODY = RequestLimits(body_bytes=100)
 
 
-class _Reader:
+class _BodyRecorder:
     """An upstream's script that keeps the bodies that it reads."""
 
     def __init__(self):
@@ -28,7 +28,7 @@
         return await echo_path(request)
 
 
-async def _in_parts(pause_s: float):
+async def _chunked_body(pause_s: float):
     for part in PARTS:
         await asyncio.sleep(pause_s)
         yield part
@@ -36,42 +36,42 @@
 
 @pytest.mark.parametrize("path", ["/order/1", "/stock/list"])
 @pytest.mark.parametrize("pause_s", [0.0, 0.02])
-def test_body_in_chunks_reaches_its_upstream_whole(path, pause_s):
+def test_chunked_body_reaches_its_upstream_complete(path, pause_s):
     async def test(world):
-        reader = _Reader()
-        await start_plain_upstreams(world, reader)
-        answer = await world.call(path, _in_parts(pause_s))
+        recorder = _BodyRecorder()
+        await start_plain_upstreams(world, recorder)
+        answer = await world.call(path, _chunked_body(pause_s))
         assert answer.status == 200
-        assert reader.bodies == [b"".join(PARTS)]
+        assert recorder.bodies == [b"".join(PARTS)]
 
     run_world(test, domains=0)
 
 
-def test_body_in_chunks_beyond_the_limit_reaches_nobody():
+def test_chunked_body_over_the_limit_is_not_forwarded():
     async def test(world):
-        reader = _Reader()
-        await start_plain_upstreams(world, reader)
+        recorder = _BodyRecorder()
+        await start_plain_upstreams(world, recorder)
         world.store.put(CONFIGURATION, NEWEST, replace(make_configuration(2), limits=SMALL_BODY))
         await asyncio.sleep(1)
-        assert (await world.call("/order/1", _in_parts(0.0))).status == 413
-        assert reader.bodies == []
+        assert (await world.call("/order/1", _chunked_body(0.0))).status == 413
+        assert recorder.bodies == []
 
     run_world(test, domains=0)
 
 
-def test_head_beyond_the_limit_is_denied_and_reaches_nobody():
+def test_headers_over_the_limit_are_refused_and_not_forwarded():
     async def test(world):
-        reader = _Reader()
-        await start_plain_upstreams(world, reader)
+        recorder = _BodyRecorder()
+        await start_plain_upstreams(world, recorder)
         answer = await world.call("/order/1", fields={"X-Long": "x" * 40_000})
         assert answer.status in (400, 431)
-        assert reader.bodies == []
+        assert recorder.bodies == []
 
     run_world(test, domains=0)
 
 
 @pytest.mark.parametrize("seen", [0, 1, 7, 19])
-def test_stream_that_its_caller_resumes_goes_on_after_what_was_seen(seen):
+def test_resumed_stream_continues_after_the_last_event_id(seen):
     async def test(world):
         await world.until_formed()
         answer = await world.stream(20, fields={"Last-Event-Id": str(seen)})
@@ -80,7 +80,7 @@
     run_world(test)
 
 
-def test_resumed_stream_that_breaks_again_lacks_and_repeats_nothing():
+def test_resumed_stream_that_breaks_again_skips_and_repeats_no_event():
     async def test(world):
         await world.until_formed()
         for host in world.fabric.hosts.values():
--- a/mulleinreach/gateway/request/tests/test_connections.py
+++ b/mulleinreach/gateway/request/tests/test_connections.py
@@ -15,7 +15,7 @@
 REQUEST = b"GET /nowhere HTTP/1.1\r\nHost: tint.example\r\n\r\n"
 
 
-def _allow_idle(world, version: int, idle_timeout_s: float) -> None:
+def _put_idle_timeout(world, version: int, idle_timeout_s: float) -> None:
     limits = RequestLimits(idle_timeout_s=idle_timeout_s)
     configuration = replace(make_configuration(version), limits=limits)
     world.store.put(CONFIGURATION, "newest", configuration)
@@ -30,16 +30,16 @@
 
 
 @pytest.mark.parametrize("sends_first", [True, False])
-def test_idle_time_follows_the_configuration_on_open_connections(sends_first):
+def test_idle_timeout_follows_the_configuration_on_open_connections(sends_first):
     async def test(world):
         node = world.nodes["node-0"]
         reader, writer = await node.network.connect(node.identity.callers_address)
-        _allow_idle(world, 2, 40)
+        _put_idle_timeout(world, 2, 40)
         if sends_first:
             writer.write(REQUEST)
             assert await reader.read(4096)
         assert not await _is_closed(reader, 39)
-        _allow_idle(world, 3, 2)
+        _put_idle_timeout(world, 3, 2)
         assert await _is_closed(reader, 3)
         writer.close()
 
@@ -48,7 +48,7 @@
 
 def test_connection_in_use_is_not_closed_as_idle():
     async def test(world):
-        _allow_idle(world, 2, 2)
+        _put_idle_timeout(world, 2, 2)
         await asyncio.sleep(1)
         node = world.nodes["node-0"]
         reader, writer = await node.network.connect(node.identity.callers_address)
@@ -61,7 +61,7 @@
     run_world(test, nodes=1, domains=0)
 
 
-def test_planned_stop_closes_resting_connections_while_others_still_answer():
+def test_planned_stop_closes_idle_connections_while_others_still_answer():
     async def test(world):
         await world.until_formed()
         node = world.nodes["node-0"]
--- a/mulleinreach/gateway/request/tests/test_crashing_requests.py
+++ b/mulleinreach/gateway/request/tests/test_crashing_requests.py
@@ -21,96 +21,98 @@
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import GatewayWorld
 
-FATAL = b"999"
+FATAL_BODY = b"999"
 THREE_HALLS = {"halls": 3, "nodes": 3, "domains": 3}
 # Nodes that are in touch know for sure by then, says the operators' bound.
-CONTACT_S = 3.0
+PROPAGATION_S = 3.0
 # So often may they send it even after that.
-SENDS_ALLOWED = 3
+MAX_LATE_ARRIVALS = 3
 # Two ends show which request it is; one more copy may be on its way to a head meanwhile.
-ENDED_AT_MOST = 4
+MAX_CRASHES = 4
 
 
-async def ask_again_and_again(world: GatewayWorld, path: str, times: int) -> list[int]:
+async def retry_at_all_nodes(world: GatewayWorld, path: str, times: int) -> list[int]:
     """Send the fatal request through all nodes in turn; return the status of each answer."""
     statuses = []
     for number in range(times):
         names = list(world.nodes)
-        answer = await world.call(path, FATAL, node=names[number % len(names)])
+        answer = await world.call(path, FATAL_BODY, node=names[number % len(names)])
         statuses.append(0 if answer.is_cut else answer.status)
         await asyncio.sleep(0.4)
     return statuses
 
 
-def arrivals_after_contact(world: GatewayWorld) -> int:
+def arrivals_after_propagation(world: GatewayWorld) -> int:
     """Return how often it reached an upstream once all nodes had to know."""
-    third = world.crashes.ended[2].at
-    return sum(moment.at > third + CONTACT_S for moment in world.crashes.arrivals)
+    third_crash_at = world.crashes.ended[2].at
+    return sum(moment.at > third_crash_at + PROPAGATION_S for moment in world.crashes.arrivals)
 
 
-def test_request_that_ends_its_replicas_is_held_at_all_nodes():
+def test_request_that_crashes_its_replicas_is_held_at_all_nodes():
     async def test(world):
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
-        statuses = await ask_again_and_again(world, "/stream/draft", 30)
-        assert len(world.crashes.ended) <= ENDED_AT_MOST
-        assert len(world.crashes.ended) < 3 or arrivals_after_contact(world) <= SENDS_ALLOWED
+        world.crashes.fatal_bodies.add(FATAL_BODY)
+        statuses = await retry_at_all_nodes(world, "/stream/draft", 30)
+        assert len(world.crashes.ended) <= MAX_CRASHES
+        assert (
+            len(world.crashes.ended) < 3 or arrivals_after_propagation(world) <= MAX_LATE_ARRIVALS
+        )
         assert statuses[-10:] == [503] * 10
 
     run_world(test, **THREE_HALLS)
 
 
-def test_request_that_gives_events_before_each_end_is_held():
+def test_request_that_gives_events_before_each_crash_is_held():
     async def test(world):
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
+        world.crashes.fatal_bodies.add(FATAL_BODY)
         world.crashes.fatal_events = 2
-        statuses = await ask_again_and_again(world, "/stream/draft", 30)
-        assert len(world.crashes.ended) <= ENDED_AT_MOST + 1
-        assert arrivals_after_contact(world) <= SENDS_ALLOWED
+        statuses = await retry_at_all_nodes(world, "/stream/draft", 30)
+        assert len(world.crashes.ended) <= MAX_CRASHES + 1
+        assert arrivals_after_propagation(world) <= MAX_LATE_ARRIVALS
         assert statuses[-10:] == [503] * 10
 
     run_world(test, **THREE_HALLS)
 
 
-def test_copies_that_come_at_once_end_few_replicas():
+def test_simultaneous_copies_crash_few_replicas():
     async def test(world):
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
+        world.crashes.fatal_bodies.add(FATAL_BODY)
         for _ in range(8):
-            copies = [world.call("/stream/draft", FATAL, node=name) for name in world.nodes]
+            copies = [world.call("/stream/draft", FATAL_BODY, node=name) for name in world.nodes]
             await asyncio.gather(*copies)
             await asyncio.sleep(4)
-        assert len(world.crashes.ended) <= ENDED_AT_MOST
+        assert len(world.crashes.ended) <= MAX_CRASHES
 
     run_world(test, **THREE_HALLS)
 
 
-def test_coordinator_that_is_replaced_and_a_new_node_hold_it_too():
+def test_new_coordinator_and_new_node_hold_the_request():
     async def test(world):
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
-        await ask_again_and_again(world, "/stream/draft", 10)
+        world.crashes.fatal_bodies.add(FATAL_BODY)
+        await retry_at_all_nodes(world, "/stream/draft", 10)
         ended = len(world.crashes.ended)
         await world.kill_node(world.coordinator())
         await world.until(lambda: world.coordinator() is not None)
         await world.start_node("node-9")
         await world.until_formed()
         await asyncio.sleep(2)
-        answer = await world.call("/stream/draft", FATAL, node="node-9")
+        answer = await world.call("/stream/draft", FATAL_BODY, node="node-9")
         assert answer.status == 503
         assert len(world.crashes.ended) == ended
 
     run_world(test, **THREE_HALLS)
 
 
-def test_nodes_that_all_start_again_hold_it_still():
+def test_hold_survives_a_restart_of_all_nodes():
     """No node has a disk: what must last stands in the store."""
 
     async def test(world):
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
-        await ask_again_and_again(world, "/stream/draft", 10)
+        world.crashes.fatal_bodies.add(FATAL_BODY)
+        await retry_at_all_nodes(world, "/stream/draft", 10)
         await asyncio.sleep(1)
         ended = len(world.crashes.ended)
         for name in list(world.nodes):
@@ -119,27 +121,27 @@
             await world.start_node(f"node-{number}", hall=world.halls[number])
         await world.until_formed()
         for name in world.nodes:
-            answer = await world.call("/stream/draft", FATAL, node=name)
+            answer = await world.call("/stream/draft", FATAL_BODY, node=name)
             assert answer.status == 503
         assert len(world.crashes.ended) == ended
 
     run_world(test, **THREE_HALLS)
 
 
-def test_plain_request_that_ends_its_upstreams_is_held():
+def test_plain_request_that_crashes_its_upstreams_is_held():
     async def test(world):
         for number in range(6):
             await world.add_plain(f"desk-{number}", echo_path)
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
-        statuses = await ask_again_and_again(world, "/stock/1", 30)
-        assert len(world.crashes.ended) <= ENDED_AT_MOST
+        world.crashes.fatal_bodies.add(FATAL_BODY)
+        statuses = await retry_at_all_nodes(world, "/stock/1", 30)
+        assert len(world.crashes.ended) <= MAX_CRASHES
         assert statuses[-10:] == [503] * 10
 
     run_world(test, **THREE_HALLS)
 
 
-def test_copy_that_waits_at_a_replica_is_taken_back():
+def test_copy_that_waits_at_a_replica_is_aborted():
     """A copy that has been sent, and has begun nowhere yet, must not begin any more."""
 
     async def test(world):
@@ -156,7 +158,7 @@
     run_world(test, **THREE_HALLS)
 
 
-def test_request_that_waits_at_its_node_is_not_sent_once_it_is_held():
+def test_request_waiting_at_its_node_is_not_sent_once_held():
     async def test(world):
         await world.until_formed()
         node = world.nodes["node-2"]
@@ -164,17 +166,17 @@
         node.relay._late_gate.wait = lambda *terms: gate.wait()
         node.first_waits.lateness = lambda *terms: Lateness(1.0, 2.0, 0.5)
         node.crashes.is_held = lambda content: gate.is_set()
-        asking = asyncio.create_task(world.stream(20, node="node-2"))
+        pending = asyncio.create_task(world.stream(20, node="node-2"))
         await asyncio.sleep(0.1)
         gate.set()
-        answer = await asking
+        answer = await pending
         assert (answer.status, answer.headers["Retry-After"]) == (503, "60")
         assert world.fabric.checks.runs == {}
 
     run_world(test, **THREE_HALLS)
 
 
-def test_held_request_waits_nowhere():
+def test_held_request_is_refused_without_waiting():
     async def test(world):
         await world.until_formed()
         node = world.nodes["node-2"]
@@ -189,41 +191,41 @@
     run_world(test, **THREE_HALLS)
 
 
-def test_stream_that_gives_events_is_not_taken_back():
+def test_stream_that_gives_events_is_not_aborted():
     async def test(world):
         await world.until_formed()
-        asking = asyncio.create_task(world.stream(40, node="node-2"))
+        pending = asyncio.create_task(world.stream(40, node="node-2"))
         await asyncio.sleep(0.5)
         node = world.nodes["node-2"]
         [exchange] = [e for at in node.active._by_upstream.values() for e in at]
         node.crashes.merge_held([HeldContent(exchange.content, HOLD_S)])
-        answer = await asking
+        answer = await pending
         assert answer.event_ids == [str(n) for n in range(1, 41)]
 
     run_world(test, **THREE_HALLS)
 
 
-def test_ends_that_nodes_saw_before_their_coordinator_was_lost_still_count():
+def test_crashes_that_nodes_saw_before_their_coordinator_was_lost_still_count():
     """An order may be sent once in a try, so no node sees more than one end of it."""
 
     async def test(world):
         for number in range(6):
             await world.add_plain(f"desk-{number}", echo_path, world.halls[number % 3])
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
+        world.crashes.fatal_bodies.add(FATAL_BODY)
         coordinator = world.coordinator()
         first, second = [name for name in world.nodes if name != coordinator]
         for name in (first, second):
-            await world.call("/order/1", FATAL, node=name)
+            await world.call("/order/1", FATAL_BODY, node=name)
         await asyncio.sleep(2)
         await world.kill_node(coordinator)
         await world.until(lambda: world.coordinator() is not None)
         await asyncio.sleep(2)
-        await world.call("/order/1", FATAL, node=first)
+        await world.call("/order/1", FATAL_BODY, node=first)
         assert len(world.crashes.ended) == 3
         await asyncio.sleep(0.5)
         for name in (first, second):
-            answer = await world.call("/order/1", FATAL, node=name)
+            answer = await world.call("/order/1", FATAL_BODY, node=name)
             assert answer.status == 503
             assert answer.headers["Retry-After"] == "60"
         assert len(world.crashes.ended) == 3
@@ -231,18 +233,18 @@
     run_world(test, **THREE_HALLS)
 
 
-def test_replicas_of_another_hall_are_tried_after_an_end():
+def test_replicas_of_another_hall_are_tried_after_a_crash():
     async def test(world):
         await world.until_formed()
-        world.crashes.fatal_bodies.add(FATAL)
-        await world.call("/stream/draft", FATAL, node="node-0")
+        world.crashes.fatal_bodies.add(FATAL_BODY)
+        await world.call("/stream/draft", FATAL_BODY, node="node-0")
         halls = [world.fabric.hosts[end.upstream_id].upstream.hall for end in world.crashes.ended]
         assert len(set(halls)) == 2
 
     run_world(test, **{**THREE_HALLS, "domains": 6})
 
 
-def test_upstream_that_only_loses_answers_holds_nothing():
+def test_upstream_that_only_loses_answers_causes_no_hold():
     async def test(world):
         for number in range(3):
             await world.add_plain(f"desk-{number}", reset_connection)
--- a/mulleinreach/gateway/request/tests/test_crowded_heads.py
+++ b/mulleinreach/gateway/request/tests/test_crowded_heads.py
@@ -11,7 +11,7 @@
 from mulleinreach.common import VirtualClock
 from mulleinreach.gateway.known.load import LoadReport, LoadTracker
 from mulleinreach.gateway.known.routing import QUEUED_PENALTY_MS
-from mulleinreach.gateway.request.urgency import HIGHEST_PRIORITY, LATE_PRIORITY, WAIT_SHARE
+from mulleinreach.gateway.request.urgency import HIGHEST_PRIORITY, LATE_PRIORITY, MAX_QUEUE_FRACTION
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, PROFILE, make_configuration
 from mulleinreach.standins.virtual import run_virtual
@@ -19,19 +19,22 @@
 USUAL_PRIORITY = HIGHEST_PRIORITY + 1
 OBJECTIVE_S = make_configuration().routes[0].objective_s
 # So many wait for a place and are in time all the same.
-MOST_WAITING = round(WAIT_SHARE * OBJECTIVE_S * 1000 / QUEUED_PENALTY_MS)
-PIECES = 40
+MAX_WAITING = round(MAX_QUEUE_FRACTION * OBJECTIVE_S * 1000 / QUEUED_PENALTY_MS)
+EVENT_COUNT = 40
 
 
-def test_requests_that_can_not_be_in_time_stand_back_for_those_that_can():
+def test_requests_that_would_miss_the_objective_yield_to_those_that_meet_it():
     async def test(world):
         await world.until_formed()
-        flood = [asyncio.create_task(world.stream(PIECES)) for _ in range(3 * PROFILE.slots)]
+        flood = [asyncio.create_task(world.stream(EVENT_COUNT)) for _ in range(3 * PROFILE.slots)]
         await asyncio.gather(*flood)
-        told = [p for ps in world.fabric.checks.priorities.values() for p in ps]
-        usual, back = told.count(str(USUAL_PRIORITY)), told.count(str(LATE_PRIORITY))
-        assert usual + back == len(flood)
-        assert PROFILE.slots <= usual <= PROFILE.slots + MOST_WAITING
+        sent_priorities = [p for ps in world.fabric.checks.priorities.values() for p in ps]
+        in_time, yielding = (
+            sent_priorities.count(str(USUAL_PRIORITY)),
+            sent_priorities.count(str(LATE_PRIORITY)),
+        )
+        assert in_time + yielding == len(flood)
+        assert PROFILE.slots <= in_time <= PROFILE.slots + MAX_WAITING
         # Once there is room, the next request is as usual again.
         await world.stream(1)
         assert list(world.fabric.checks.priorities.values())[-1] == [str(USUAL_PRIORITY)]
@@ -39,35 +42,35 @@
     run_world(test, nodes=1, domains=1)
 
 
-def test_those_that_stand_back_do_not_make_others_stand_back():
+def test_yielding_requests_do_not_make_others_yield():
     async def test():
-        book = LoadTracker(VirtualClock())
-        ahead = [book.start("u", 100) for _ in range(3)]
-        back = [book.start("u", 100, stands_back=True) for _ in range(9)]
-        assert (book.running("u"), book.running_ahead("u")) == (12, 3)
-        assert book.pending_tokens("u") == 300
+        tracker = LoadTracker(VirtualClock())
+        ahead = [tracker.start("u", 100) for _ in range(3)]
+        yielding = [tracker.start("u", 100, stands_back=True) for _ in range(9)]
+        assert (tracker.running("u"), tracker.running_ahead("u")) == (12, 3)
+        assert tracker.pending_tokens("u") == 300
         # An engine that has let one in reads no other first.
-        back[0].progress()
-        assert book.running_ahead("u") == 4
+        yielding[0].progress()
+        assert tracker.running_ahead("u") == 4
         ahead[0].finish()
-        assert book.running_ahead("u") == 3
+        assert tracker.running_ahead("u") == 3
 
     run_virtual(test())
 
 
-def test_those_of_other_nodes_count_as_they_are_told():
+def test_yielding_requests_of_other_nodes_count_as_published():
     async def test():
-        book = LoadTracker(VirtualClock())
-        book.start("u", 100, stands_back=True)
-        own = book.own_reports()
+        tracker = LoadTracker(VirtualClock())
+        tracker.start("u", 100, stands_back=True)
+        own = tracker.own_reports()
         total = LoadReport("u", 10, 500, 0.1, standing_back=4)
-        book.update_totals([total], own)
-        assert (book.running("u"), book.running_ahead("u")) == (10, 6)
+        tracker.update_totals([total], own)
+        assert (tracker.running("u"), tracker.running_ahead("u")) == (10, 6)
 
     run_virtual(test())
 
 
-def test_long_prompt_stands_back_for_nobody_at_an_idle_head():
+def test_predicted_wait_at_an_idle_head_is_zero():
     async def test(world):
         await world.until_formed()
         node = world.nodes["node-0"]
@@ -77,19 +80,19 @@
     run_world(test, nodes=1, domains=1)
 
 
-def test_request_that_an_upstream_has_refused_does_not_stand_back_as_well():
+def test_refused_request_does_not_yield_as_well():
     async def test(world):
         await world.until_formed()
         node = world.nodes["node-0"]
-        full = [asyncio.create_task(world.stream(PIECES)) for _ in range(6 * PROFILE.slots)]
+        full = [asyncio.create_task(world.stream(EVENT_COUNT)) for _ in range(6 * PROFILE.slots)]
         await asyncio.sleep(0.2)
         refusing = node.chooser.heads(MODEL_SERVICE, LARGE)[0].upstream.id
         world.fabric.hosts[refusing].refuses = len(full)
         before = len(world.fabric.checks.priorities)
         await asyncio.gather(*(world.stream(1) for _ in range(12)))
-        told = list(world.fabric.checks.priorities.values())[before:]
-        assert [str(USUAL_PRIORITY)] in told
-        assert [str(LATE_PRIORITY)] in told
+        sent_priorities = list(world.fabric.checks.priorities.values())[before:]
+        assert [str(USUAL_PRIORITY)] in sent_priorities
+        assert [str(LATE_PRIORITY)] in sent_priorities
         await asyncio.gather(*full)
 
     run_world(test, nodes=1, domains=2)
--- a/mulleinreach/gateway/request/tests/test_exchange.py
+++ b/mulleinreach/gateway/request/tests/test_exchange.py
@@ -22,10 +22,10 @@
 from mulleinreach.standins.gateway.dialect import PlainDialect
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Signature: s\r\nX-Request-Id: r\r\n\r\n"
-LINGER_NONE = struct.pack("ii", 1, 0)
+ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
-def ignore(upstream, notice):
+def ignore_notice(upstream, notice):
     """Take no notice of what an upstream says of itself."""
 
 
@@ -39,7 +39,7 @@
         await asyncio.sleep(0.05)
         if ends_with_reset:
             raw = writer.get_extra_info("socket")
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
             writer.transport.abort()
         else:
             writer.close()
@@ -50,7 +50,7 @@
     session = Network("test").http_client(keeps_connections=False)
     request = OutgoingRequest("GET", "/a", CIMultiDict(), b"", "r")
     try:
-        client = UpstreamClient(session, PlainDialect(), ignore)
+        client = UpstreamClient(session, PlainDialect(), ignore_notice)
         result = await client.send(upstream, request, wants_stream)
         if isinstance(result, Streaming):
             return b"".join([data async for data in result.chunks(PAUSE_LIMIT_S)])
@@ -60,18 +60,18 @@
         server.close()
 
 
-def test_closed_answer_without_length_is_whole():
+def test_closed_answer_without_length_is_complete():
     result = asyncio.run(exchange(ends_with_reset=False, wants_stream=False))
     assert isinstance(result, Answered)
     assert result.body == b"part"
 
 
-def test_reset_answer_without_length_is_not_whole():
+def test_reset_answer_without_length_is_broken():
     result = asyncio.run(exchange(ends_with_reset=True, wants_stream=False))
     assert isinstance(result, Broken)
 
 
-def test_closed_stream_without_length_is_whole():
+def test_closed_stream_without_length_is_complete():
     assert asyncio.run(exchange(ends_with_reset=False, wants_stream=True)) == b"part"
 
 
@@ -89,7 +89,7 @@
         session = Network("test").http_client(keeps_connections=False)
         request = OutgoingRequest("GET", "/a", CIMultiDict(), b"", "r")
         try:
-            client = UpstreamClient(session, PlainDialect(), ignore)
+            client = UpstreamClient(session, PlainDialect(), ignore_notice)
             return await client.send(upstream, request, False)
         finally:
             await session.close()
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("outage", ["is_down", "is_silent"])
-def test_keys_work_throughout_an_outage_for_all(outage):
+def test_keys_work_while_no_node_reaches_the_store(outage):
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
@@ -41,7 +41,7 @@
     run_world(test, bounds=LENIENT, **OPTIONS)
 
 
-def test_keys_stop_working_in_an_outage_where_taking_them_away_is_strict():
+def test_keys_are_refused_in_an_outage_under_strict_bounds():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("turned_away", [1, 2, 3])
-def test_nodes_that_the_store_turns_away_refuse_a_key_that_was_taken_away(turned_away):
+def test_nodes_cut_off_from_the_store_refuse_a_revoked_key(turned_away):
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("stops_after_s", [1.0, 3.0, 5.0])
-def test_keys_work_on_when_the_coordinator_stops_during_an_outage(stops_after_s):
+def test_keys_keep_working_when_the_coordinator_stops_during_an_outage(stops_after_s):
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         await asyncio.sleep(2)
@@ -90,9 +90,11 @@
 
 
 @pytest.mark.parametrize("turned_away", [1, 2])
-def test_replaced_coordinator_does_not_take_its_own_cut_for_an_outage(turned_away, monkeypatch):
+def test_replaced_coordinator_does_not_mistake_its_own_cut_off_for_an_outage(
+    turned_away, monkeypatch
+):
     """Not even if it never hears who is in its place."""
-    monkeypatch.setattr(membership, "notify_replaced", _tell_nobody)
+    monkeypatch.setattr(membership, "notify_replaced", _drop_notification)
 
     async def test(world):
         await asyncio.sleep(2)
@@ -107,5 +109,5 @@
     run_world(test, bounds=LENIENT, **OPTIONS)
 
 
-async def _tell_nobody(*_):
+async def _drop_notification(*_):
     """Lose the word of a new coordinator."""
--- a/mulleinreach/gateway/request/tests/test_leaving_callers.py
+++ b/mulleinreach/gateway/request/tests/test_leaving_callers.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN
+from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.tests.desk import NO_HOSTS, start_plain_upstreams
 from mulleinreach.gateway.tests.limited import limit_headers
 from mulleinreach.gateway.tests.noticed import ScriptedUpstream
@@ -14,15 +14,15 @@
 from mulleinreach.standins.gateway.world import API_KEY, CALLER_HOST, LARGE, MODEL_SERVICE
 
 # The users allow half a second from the moment at which the caller has left.
-NOTICED_S = 0.4
+MAX_ABORT_S = 0.4
 
 
-async def leave(world, asking: asyncio.Task, after_s: float) -> None:
+async def assert_aborted_after_leaving(world, pending: asyncio.Task, after_s: float) -> None:
     """Let a caller leave, and check that nothing goes on for it."""
     await asyncio.sleep(after_s)
-    assert not asking.done()
-    asking.cancel()
-    await asyncio.sleep(NOTICED_S)
+    assert not pending.done()
+    pending.cancel()
+    await asyncio.sleep(MAX_ABORT_S)
     runs = {request: list(hosts) for request, hosts in world.fabric.checks.runs.items()}
     for node in world.nodes.values():
         assert node.relay.in_flight == 0
@@ -36,51 +36,51 @@
         host.pace = 40.0
 
 
-def test_before_the_first_event():
+def test_caller_leaves_before_the_first_event():
     async def test(world):
         await world.until_formed()
         _slow_hosts(world)
-        await leave(world, asyncio.create_task(world.stream(5)), 0.5)
+        await assert_aborted_after_leaving(world, asyncio.create_task(world.stream(5)), 0.5)
 
     run_world(test, nodes=1)
 
 
-def test_in_the_middle_of_a_stream():
+def test_caller_leaves_in_the_middle_of_a_stream():
     async def test(world):
         await world.until_formed()
-        await leave(world, asyncio.create_task(world.stream(100)), 0.7)
+        await assert_aborted_after_leaving(world, asyncio.create_task(world.stream(100)), 0.7)
 
     run_world(test, nodes=1)
 
 
-def test_after_its_stream_was_moved_to_another_replica():
+def test_caller_leaves_after_its_stream_was_moved():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
         heads = world.nodes["node-0"].chooser.heads(MODEL_SERVICE, LARGE)
         for head in heads:
             world.fabric.hosts[head.upstream.id].breaks_after = 3
-        asking = asyncio.create_task(world.stream(100))
+        pending = asyncio.create_task(world.stream(100))
         await world.until(lambda: any(len(h) > 1 for h in world.fabric.checks.runs.values()))
-        await leave(world, asking, 0.02)
+        await assert_aborted_after_leaving(world, pending, 0.02)
 
     run_world(test, nodes=1)
 
 
-def test_while_it_stands_back_as_late():
+def test_caller_leaves_while_its_late_request_waits():
     async def test(world):
         await world.until_formed()
-        for _ in range(ENOUGH_SEEN):
+        for _ in range(MIN_WAITS):
             await world.stream(1, deadline_s=8.0)
         _slow_hosts(world)
         others = [asyncio.create_task(world.stream(5)) for _ in range(60)]
         await asyncio.sleep(0.5)
         seen = set(world.fabric.checks.runs)
-        asking = asyncio.create_task(world.stream(5, deadline_s=5.0))
+        pending = asyncio.create_task(world.stream(5, deadline_s=5.0))
         await asyncio.sleep(0.3)
         for other in others:
             other.cancel()
-        asking.cancel()
+        pending.cancel()
         await asyncio.sleep(2)
         assert set(world.fabric.checks.runs) == seen
         assert world.nodes["node-0"].relay.in_flight == 0
@@ -88,32 +88,32 @@
     run_world(test, nodes=1)
 
 
-def test_while_it_waits_for_a_permit():
+def test_caller_leaves_while_its_request_waits_for_a_permit():
     async def test(world):
         limited = ScriptedUpstream(limit_headers(0.5))
         await start_plain_upstreams(world, limited)
         await asyncio.sleep(5)
         await world.call("/stock/1", method="GET")
         count = len(limited.arrivals)
-        asking = asyncio.create_task(world.call("/stock/1", method="GET"))
+        pending = asyncio.create_task(world.call("/stock/1", method="GET"))
         await world.until(lambda: world.nodes["node-0"].permits.wanted())
-        await leave(world, asking, 0.01)
+        await assert_aborted_after_leaving(world, pending, 0.01)
         assert len(limited.arrivals) == count
 
     run_world(test, **NO_HOSTS)
 
 
-def test_while_its_node_starts():
+def test_caller_leaves_while_its_node_starts():
     async def test(world):
         world.store.is_down = True
         await world.start_node("node-new")
-        asking = asyncio.create_task(world.stream(5, node="node-new"))
-        await leave(world, asking, 0.2)
+        pending = asyncio.create_task(world.stream(5, node="node-new"))
+        await assert_aborted_after_leaving(world, pending, 0.2)
 
     run_world(test, nodes=0)
 
 
-def test_while_its_body_is_read():
+def test_caller_leaves_while_its_body_is_read():
     async def test(world):
         await world.until_formed()
         address = world.nodes["node-0"].identity.callers_address
@@ -125,7 +125,7 @@
         writer.write(head.encode() + b"part")
         await world.until(lambda: world.nodes["node-0"].relay.in_flight == 1)
         writer.close()
-        await asyncio.sleep(NOTICED_S)
+        await asyncio.sleep(MAX_ABORT_S)
         assert world.nodes["node-0"].relay.in_flight == 0
         assert world.fabric.checks.runs == {}
 
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("path", ["/stock/paint", "/order/paint"])
-def test_while_a_plain_service_works(path):
+def test_caller_leaves_while_a_plain_service_works(path):
     async def test(world):
         ended: list[float] = []
 
@@ -144,7 +144,7 @@
                 ended.append(world.clock.now())
 
         await start_plain_upstreams(world, work)
-        await leave(world, asyncio.create_task(world.call(path)), 0.3)
+        await assert_aborted_after_leaving(world, asyncio.create_task(world.call(path)), 0.3)
         assert len(ended) == 1
 
     run_world(test, **NO_HOSTS)
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -28,82 +28,82 @@
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID
 from mulleinreach.standins.gateway.hosts import make_upstream
 
-FIRST = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
-LATER = incarnation_id("desk-0", 2)
+ORIGINAL = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
+RESTARTED = incarnation_id("desk-0", 2)
 
 
-def make_book(*upstreams) -> tuple[LimitTracker, ManualClock]:
+def make_tracker(*upstreams) -> tuple[LimitTracker, ManualClock]:
     """Return a book whose list has some upstreams, and its clock."""
     clock, directory = ManualClock(), UpstreamDirectory()
     directory.replace_all(1, list(upstreams), clock.now())
     return LimitTracker(directory, clock, NullLog()), clock
 
 
-def test_later_start_under_the_name_has_no_limit():
-    book, _ = make_book(FIRST)
-    book.record_answer(FIRST.id, 1.5)
-    assert book.is_limited(FIRST.id)
-    assert not book.is_limited(LATER)
+def test_upstream_restarted_later_has_no_limit():
+    tracker, _ = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
+    assert tracker.is_limited(ORIGINAL.id)
+    assert not tracker.is_limited(RESTARTED)
 
 
-def test_answer_without_a_limit_before_any_is_no_news():
-    book, _ = make_book(FIRST)
-    book.record_answer(FIRST.id, math.inf)
-    assert not book.has_any
-    assert book.unpublished(includes_published=True) == ()
+def test_first_answer_without_a_limit_is_not_reported():
+    tracker, _ = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, math.inf)
+    assert not tracker.has_any
+    assert tracker.unpublished(includes_published=True) == ()
 
 
-def test_earlier_word_that_comes_late_changes_nothing():
-    book, clock = make_book(FIRST)
-    book.record_answer(FIRST.id, 1.5)
+def test_earlier_report_that_comes_late_is_ignored():
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     clock.at += 1
-    book.record_answer(FIRST.id, math.inf)
-    book.merge_reported([NamedLimit(FIRST.id, 1.5, 0.5)])
-    book.merge_published([NamedLimit(FIRST.id, 1.5, 0.2)], clock.now() - 0.5)
-    assert not book.is_limited(FIRST.id)
+    tracker.record_answer(ORIGINAL.id, math.inf)
+    tracker.merge_reported([NamedLimit(ORIGINAL.id, 1.5, 0.5)])
+    tracker.merge_published([NamedLimit(ORIGINAL.id, 1.5, 0.2)], clock.now() - 0.5)
+    assert not tracker.is_limited(ORIGINAL.id)
 
 
-def test_later_word_of_another_node_counts_either_way():
-    book, clock = make_book(FIRST)
-    book.record_answer(FIRST.id, 1.5)
+def test_later_report_of_another_node_changes_or_ends_the_limit():
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     clock.at += 1
-    book.merge_reported([NamedLimit(FIRST.id, 4.0, 0.5)])
-    assert book.limit_per_s(FIRST.id) == 4.0
-    book.merge_reported([NamedLimit(FIRST.id, math.inf, 0.1)])
-    assert not book.is_limited(FIRST.id)
+    tracker.merge_reported([NamedLimit(ORIGINAL.id, 4.0, 0.5)])
+    assert tracker.limit_per_s(ORIGINAL.id) == 4.0
+    tracker.merge_reported([NamedLimit(ORIGINAL.id, math.inf, 0.1)])
+    assert not tracker.is_limited(ORIGINAL.id)
 
 
-def test_limit_that_ended_is_told_for_a_while_and_then_forgotten():
-    book, clock = make_book(FIRST)
-    book.record_answer(FIRST.id, 1.5)
+def test_ended_limit_is_published_for_a_while_and_then_forgotten():
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
     clock.at += 1
-    book.record_answer(FIRST.id, math.inf)
-    assert [limit.per_s for limit in book.known_limits()] == [math.inf]
+    tracker.record_answer(ORIGINAL.id, math.inf)
+    assert [limit.per_s for limit in tracker.known_limits()] == [math.inf]
     clock.at += ENDED_LIMIT_KEPT_S
-    assert book.known_limits() == ()
+    assert tracker.known_limits() == ()
 
 
-def test_limit_of_an_upstream_that_is_gone_is_forgotten_one_on_the_list_is_not():
-    book, clock = make_book(FIRST)
-    book.record_answer(FIRST.id, 1.5)
-    book.record_answer("another", 2.0)
+def test_only_limits_of_unlisted_upstreams_are_forgotten():
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
+    tracker.record_answer("another", 2.0)
     clock.at += UNLISTED_LIMIT_KEPT_S
-    assert book.limits() == {FIRST.id: 1.5}
+    assert tracker.limits() == {ORIGINAL.id: 1.5}
 
 
-def test_coordinator_is_told_only_what_it_has_not_told():
-    book, clock = make_book(FIRST)
-    book.record_answer(FIRST.id, 1.5)
-    assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [1.5]
-    book.merge_published([NamedLimit(FIRST.id, 1.5)], clock.now())
-    assert book.unpublished(includes_published=False) == ()
-    assert len(book.unpublished(includes_published=True)) == 1
+def test_only_unpublished_limits_are_reported_to_the_coordinator():
+    tracker, clock = make_tracker(ORIGINAL)
+    tracker.record_answer(ORIGINAL.id, 1.5)
+    assert [limit.per_s for limit in tracker.unpublished(includes_published=False)] == [1.5]
+    tracker.merge_published([NamedLimit(ORIGINAL.id, 1.5)], clock.now())
+    assert tracker.unpublished(includes_published=False) == ()
+    assert len(tracker.unpublished(includes_published=True)) == 1
     clock.at += 1
-    book.record_answer(FIRST.id, 2.5)
-    assert [limit.per_s for limit in book.unpublished(includes_published=False)] == [2.5]
+    tracker.record_answer(ORIGINAL.id, 2.5)
+    assert [limit.per_s for limit in tracker.unpublished(includes_published=False)] == [2.5]
 
 
-def test_refusal_without_a_limit_ends_none():
+def test_refusal_without_a_limit_ends_no_limit():
     """An upstream that is full may turn a request away without saying more."""
 
     async def test(world):
@@ -130,7 +130,7 @@
     run_world(test, **{**NO_HOSTS, "nodes": 4})
 
 
-def test_orders_and_questions_end_no_limit_and_are_not_bounded_by_one():
+def test_orders_and_probes_end_no_limit_and_are_not_bounded_by_one():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(5)
@@ -159,7 +159,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_high_limit_keeps_nothing_away():
+def test_high_limit_refuses_no_request():
     async def test(world):
         limited = ScriptedUpstream(limit_headers(200.0))
         await start_plain_upstreams(world, limited)
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -25,56 +25,56 @@
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID, RETRY_AFTER
 from mulleinreach.standins.gateway.hosts import make_upstream
 
-FIRST = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
-LATER = make_upstream(incarnation_id("desk-0", 2), "desk", 1, None)
+ORIGINAL = make_upstream(incarnation_id("desk-0", 1), "desk", 1, None)
+RESTARTED = make_upstream(incarnation_id("desk-0", 2), "desk", 1, None)
 # An upstream that failed a request is avoided for a second, and is drawn soon after it.
-BACK_WITHIN_S = 2.0
+MAX_AVOIDED_S = 2.0
 
 
-def make_book() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
+def make_tracker() -> tuple[NoticeTracker, UpstreamDirectory, ManualClock]:
     """Return a book, its list and its clock."""
     clock, directory = ManualClock(), UpstreamDirectory()
-    directory.replace_all(1, [FIRST], clock.now())
+    directory.replace_all(1, [ORIGINAL], clock.now())
     return NoticeTracker(directory, clock, NullLog(), lambda: None), directory, clock
 
 
-def test_shorter_rest_that_is_asked_for_later_ends_no_longer_one():
-    book, _, clock = make_book()
-    book.record(FIRST, Notice(rest_s=3.0))
+def test_later_shorter_rest_does_not_end_a_longer_one():
+    tracker, _, clock = make_tracker()
+    tracker.record(ORIGINAL, Notice(rest_s=3.0))
     clock.at += 1
-    book.record(FIRST, Notice(rest_s=0.5))
-    assert book.rest(FIRST.id).remaining_s == 2.0
+    tracker.record(ORIGINAL, Notice(rest_s=0.5))
+    assert tracker.rest(ORIGINAL.id).remaining_s == 2.0
 
 
-def test_longer_rest_that_is_asked_for_later_counts():
-    book, _, clock = make_book()
-    book.record(FIRST, Notice(rest_s=1.0))
+def test_later_longer_rest_replaces_a_shorter_one():
+    tracker, _, clock = make_tracker()
+    tracker.record(ORIGINAL, Notice(rest_s=1.0))
     clock.at += 0.5
-    book.record(FIRST, Notice(rest_s=3.0))
-    assert book.rest(FIRST.id).remaining_s == 3.0
+    tracker.record(ORIGINAL, Notice(rest_s=3.0))
+    assert tracker.rest(ORIGINAL.id).remaining_s == 3.0
     clock.at += 3.0
-    assert book.rest(FIRST.id) is None
-    assert book.resting() == []
+    assert tracker.rest(ORIGINAL.id) is None
+    assert tracker.resting() == []
 
 
-def test_later_start_under_the_name_neither_rests_nor_leaves():
-    book, directory, clock = make_book()
-    book.record(FIRST, Notice(is_leaving=True, rest_s=3.0))
-    directory.apply(ListChange(2, [LATER], []), clock.now())
-    assert book.rest(LATER.id) is None
-    assert directory.get(LATER.id).state is UpstreamState.READY
+def test_restarted_upstream_neither_rests_nor_leaves():
+    tracker, directory, clock = make_tracker()
+    tracker.record(ORIGINAL, Notice(is_leaving=True, rest_s=3.0))
+    directory.apply(ListChange(2, [RESTARTED], []), clock.now())
+    assert tracker.rest(RESTARTED.id) is None
+    assert directory.get(RESTARTED.id).state is UpstreamState.READY
 
 
-def test_row_that_calls_an_upstream_ready_does_not_refute_its_own_word():
-    book, directory, clock = make_book()
-    book.record(FIRST, Notice(is_leaving=True))
-    for change in (ListChange(2, [FIRST], []), ListChange(3, [], ["desk-0"])):
+def test_ready_row_does_not_refute_a_leaving_notice():
+    tracker, directory, clock = make_tracker()
+    tracker.record(ORIGINAL, Notice(is_leaving=True))
+    for change in (ListChange(2, [ORIGINAL], []), ListChange(3, [], ["desk-0"])):
         directory.apply(change, clock.now())
-    directory.replace_all(4, [FIRST], clock.now())
-    assert directory.get(FIRST.id).state is UpstreamState.DRAINING
+    directory.replace_all(4, [ORIGINAL], clock.now())
+    assert directory.get(ORIGINAL.id).state is UpstreamState.DRAINING
 
 
-def test_refusal_without_a_rest_keeps_nobody_away_for_long():
+def test_refusal_without_a_rest_excludes_its_upstream_only_briefly():
     async def test(world):
         refusing = ScriptedUpstream()
         refusing.refuses = True
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 429, 500])
-def test_time_to_come_back_on_another_answer_is_no_rest(status):
+def test_retry_after_of_another_answer_is_no_rest(status):
     """Too many requests of one organisation, say, are no word on the others'."""
 
     async def test(world):
@@ -103,13 +103,13 @@
 
         await start_plain_upstreams(world, answer, echo_path)
         await request_repeatedly(1.0, lambda: world.call("/stock/1", method="GET"))
-        await request_repeatedly(BACK_WITHIN_S, lambda: world.call("/stock/1", method="GET"))
+        await request_repeatedly(MAX_AVOIDED_S, lambda: world.call("/stock/1", method="GET"))
         assert arrivals[-1] > arrivals[0] + 1.0
 
     run_world(test, **NO_HOSTS)
 
 
-def test_connection_that_is_closed_after_an_answer_is_no_word_of_leaving():
+def test_closed_connection_is_no_leaving_notice():
     async def test(world):
         closing = ScriptedUpstream({"Connection": "close"})
         await start_plain_upstreams(world, closing)
@@ -119,7 +119,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_rest_that_was_asked_of_one_node_keeps_no_other_away():
+def test_rest_asked_of_one_node_excludes_no_other_node():
     async def test(world):
         desk = ScriptedUpstream(REST_HEADERS)
         desk.refuses = True
@@ -138,17 +138,17 @@
 def test_head_that_rests_is_not_lost_and_keeps_its_group():
     async def test(world):
         await world.until_formed()
-        kept = record_events(world.nodes["node-0"])
+        events = record_events(world.nodes["node-0"])
         head, *_ = large_heads(world)
         head.refuses, head.headers = 1, REST_HEADERS
         await request_repeatedly(2 * REST_S, lambda: world.stream(2))
-        assert event_fields(kept, "group_dissolving") == []
-        assert event_fields(kept, "upstream_lost") == []
+        assert event_fields(events, "group_dissolving") == []
+        assert event_fields(events, "upstream_lost") == []
 
     run_world(test, nodes=1)
 
 
-def test_answer_of_an_upstream_that_leaves_is_passed_on_as_it_is():
+def test_answer_of_a_leaving_upstream_is_forwarded_unchanged():
     async def test(world):
         await start_plain_upstreams(world, ScriptedUpstream(LEAVING_HEADERS))
         answer = await world.call("/order/1")
@@ -158,7 +158,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_stream_of_a_head_that_leaves_is_not_broken_off():
+def test_stream_of_a_leaving_head_is_not_cut():
     async def test(world):
         await world.until_formed()
         head, *_ = large_heads(world)
@@ -170,7 +170,7 @@
     run_world(test, nodes=1)
 
 
-def test_answer_to_nobody_s_request_still_speaks_of_its_upstream():
+def test_notice_of_an_answer_with_an_unknown_request_id_counts():
     """Each request has a connection of its own, so whatever comes there is the upstream's."""
 
     async def test(world):
--- a/mulleinreach/gateway/request/tests/test_relay.py
+++ b/mulleinreach/gateway/request/tests/test_relay.py
@@ -23,7 +23,7 @@
 from mulleinreach.standins.gateway.store import UPSTREAMS
 
 
-def test_path_and_query_are_passed_on_as_they_came():
+def test_path_and_query_are_forwarded_unchanged():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         answer = await world.call("/stock/a%2Fb//c?x=%20&y", method="GET")
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize(
     "script", [fail, reset_connection, answer_wrong_request, answer_unsigned, truncate_response]
 )
-def test_safe_request_is_tried_elsewhere_once(script):
+def test_safe_request_is_retried_at_another_upstream(script):
     async def test(world):
         await start_plain_upstreams(world, script, echo_path)
         for _ in range(6):
@@ -59,7 +59,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_refused_request_is_told_as_not_run_with_a_time_to_come_back():
+def test_refused_request_gets_503_with_retry_after():
     async def test(world):
         await start_plain_upstreams(world, refuse)
         answer = await world.call("/order/1", b"2 tins")
@@ -69,7 +69,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_silent_upstream_is_answered_for_at_the_deadline():
+def test_request_to_a_silent_upstream_gets_504_at_the_deadline():
     async def test(world):
         await start_plain_upstreams(world, hang)
         started_at = world.clock.now()
@@ -90,7 +90,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_draining_upstream_gets_nothing_new():
+def test_draining_upstream_gets_no_new_requests():
     async def test(world):
         await start_plain_upstreams(world, echo_path, echo_path)
         leaving = world.plain["desk-0"]
@@ -104,7 +104,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_too_large_requests_are_told_so():
+def test_too_large_requests_are_rejected():
     async def test(world):
         await start_plain_upstreams(world, echo_path)
         assert (await world.call("/order/1", b"x" * 5_000_000)).status == 413
--- a/mulleinreach/gateway/request/tests/test_shortage.py
+++ b/mulleinreach/gateway/request/tests/test_shortage.py
@@ -16,7 +16,7 @@
 BOUND_S = DeploymentBounds.evacuation_s
 
 
-def _keep_lines(world) -> list[str]:
+def _record_lines(world) -> list[str]:
     """Return the lines that the first node logs from now on, as they are written."""
     lines = []
 
@@ -28,22 +28,22 @@
     return lines
 
 
-def _told(lines: list[str], request: int) -> dict[str, str]:
+def _shortage_fields(lines: list[str], request: int) -> dict[str, str]:
     """Return the one line about a request that tells why it found no upstream."""
-    told = [parse_line(line) for line in explain_request(lines, f"request-{request}")]
-    (shortage,) = [line.fields for line in told if line.event == "no_upstream"]
+    explained = [parse_line(line) for line in explain_request(lines, f"request-{request}")]
+    (shortage,) = [line.fields for line in explained if line.event == "no_upstream"]
     return shortage
 
 
-def test_refused_stream_is_explained_by_its_model_s_heads():
+def test_refused_stream_logs_the_state_of_its_model_s_heads():
     async def test(world):
         await world.until_formed()
-        lines = _keep_lines(world)
+        lines = _record_lines(world)
         for hall in world.halls:
             world.evacuate(hall)
         await asyncio.sleep(BOUND_S)
         assert (await world.stream(3)).status == 503
-        fields = _told(lines, 1)
+        fields = _shortage_fields(lines, 1)
         assert (fields["service"], fields["model"]) == ("models", "large")
         assert (fields["listed"], fields["evacuated"], fields["lost"]) == ("2", "2", "0")
         assert fields["evacuated_halls"] == "hall-a,hall-b"
@@ -52,18 +52,18 @@
 
 
 @pytest.mark.parametrize("script", [echo_path, refuse])
-def test_refused_plain_request_is_explained_by_its_service_s_upstreams(script):
+def test_refused_plain_request_logs_the_state_of_its_service_s_upstreams(script):
     async def test(world):
         await world.add_plain("near", echo_path, "hall-a")
         await world.add_plain("far", script, "hall-b")
         await asyncio.sleep(3)
-        lines = _keep_lines(world)
+        lines = _record_lines(world)
         world.evacuate("hall-a")
         await asyncio.sleep(BOUND_S)
         is_refused = (await world.call("/order/1")).status == 503
         assert is_refused == (script is refuse)
         if is_refused:
-            fields = _told(lines, 1)
+            fields = _shortage_fields(lines, 1)
             assert (fields["listed"], fields["tried"], fields["evacuated"]) == ("2", "1", "1")
         else:
             assert not any("event=no_upstream" in line for line in lines)
@@ -71,7 +71,7 @@
     run_world(test, halls=2, nodes=1, domains=0)
 
 
-def test_sends_to_a_hall_that_gives_way_are_counted():
+def test_sends_to_an_evacuated_hall_are_counted():
     def count(node, hall):
         name = "mulleinreach_gateway_evacuated_sends_total"
         return node.metrics.registry.get_sample_value(name, {"hall": hall}) or 0
--- a/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
+++ b/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
@@ -12,24 +12,24 @@
 from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.gateway.tests.support import run_world
 
-FATAL = b"999"
+FATAL_BODY = b"999"
 THREE_HALLS = {"halls": 3, "nodes": 3, "domains": 3}
 
 
-def test_sound_requests_beside_it_are_served_when_they_come_again():
+def test_retries_beside_a_crashing_request_are_served():
     async def test(world):
         await world.until_formed()
-        asking = [
+        pending = [
             asyncio.create_task(world.stream(40 + number, node=name))
             for number in range(8)
             for name in world.nodes
         ]
         await asyncio.sleep(0.2)
-        world.crashes.fatal_bodies.add(FATAL)
+        world.crashes.fatal_bodies.add(FATAL_BODY)
         for number in range(10):
-            await world.call("/stream/draft", FATAL, node=f"node-{number % 3}")
+            await world.call("/stream/draft", FATAL_BODY, node=f"node-{number % 3}")
             await asyncio.sleep(0.4)
-        await asyncio.gather(*asking)
+        await asyncio.gather(*pending)
         await world.until_formed()
         for number in range(8):
             for name in world.nodes:
@@ -40,24 +40,24 @@
 
 
 @pytest.mark.parametrize("gap_s", [0.0, 0.15, 0.4])
-def test_hall_that_is_lost_holds_no_request_back(gap_s):
+def test_loss_of_a_hall_holds_no_request(gap_s):
     """Replicas of a hall end one soon after the other, under many requests that are sound."""
 
     async def test(world):
         await world.until_formed()
         lost = world.hosts_in("hall-a")
-        asking = set()
+        pending = set()
         for round_number in range(12):
             for number in range(12):
                 for name in world.nodes:
                     task = asyncio.create_task(world.stream(10 + number, node=name))
-                    asking.add(task)
+                    pending.add(task)
             if lost and round_number >= 1:
                 for _ in range(8):
                     world.crashes.begin(lost.pop().id, back_after_s=60)
                     await asyncio.sleep(gap_s)
             await asyncio.sleep(0.2)
-        await asyncio.gather(*asking)
+        await asyncio.gather(*pending)
         # The same come again, and none of them is known as one that ends replicas.
         for number in range(12):
             for name in world.nodes:
@@ -67,7 +67,7 @@
     run_world(test, **THREE_HALLS)
 
 
-def test_plain_upstreams_that_end_hold_no_request_back():
+def test_crashing_plain_upstreams_hold_no_request():
     async def answer_late(request):
         await asyncio.sleep(0.3)
         return await echo_path(request)
@@ -78,14 +78,14 @@
         await world.until_formed()
         # One ends each second, while many callers ask for few different things.
         for second in range(12):
-            asking = [
+            pending = [
                 asyncio.create_task(world.call(f"/stock/{number}", node=name))
                 for number in range(6)
                 for name in world.nodes
             ]
             await asyncio.sleep(0.1)
             world.crashes.begin(f"desk-{second % 6}", back_after_s=2)
-            await asyncio.gather(*asking)
+            await asyncio.gather(*pending)
             await asyncio.sleep(0.7)
         for number in range(6):
             for name in world.nodes:
--- a/mulleinreach/gateway/request/tests/test_starting.py
+++ b/mulleinreach/gateway/request/tests/test_starting.py
@@ -7,7 +7,7 @@
 from mulleinreach.gateway.tests.support import run_world
 
 
-def test_first_request_of_a_node_is_served_once_it_knows_enough():
+def test_first_request_of_a_new_node_is_served():
     async def test(world):
         await world.until_formed()
         await world.start_node("node-new")
@@ -17,7 +17,7 @@
     run_world(test)
 
 
-def test_request_is_not_held_back_for_long_without_the_store():
+def test_request_at_a_new_node_is_refused_soon_without_the_store():
     async def test(world):
         await world.until_formed()
         world.store.is_down = True
--- a/mulleinreach/gateway/request/tests/test_streams.py
+++ b/mulleinreach/gateway/request/tests/test_streams.py
@@ -7,7 +7,7 @@
 from mulleinreach.gateway.tests.support import run_world
 
 
-def test_stream_comes_whole_and_in_order():
+def test_stream_arrives_complete_and_in_order():
     async def test(world):
         await world.until_formed()
         answer = await world.stream(12)
@@ -30,7 +30,7 @@
     run_world(test, nodes=1)
 
 
-def test_stream_that_can_not_be_continued_looks_cut():
+def test_stream_that_can_not_be_continued_is_cut():
     async def test(world):
         await world.until_formed()
         for host in world.fabric.hosts.values():
@@ -47,24 +47,24 @@
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
-        asking = asyncio.create_task(world.stream(60))
+        pending = asyncio.create_task(world.stream(60))
         await asyncio.sleep(0.5)
         run_at = next(iter(world.fabric.checks.runs.values()))[0]
-        victim = world.fabric.hosts[world.fabric.hosts[run_at].standing.members[1]]
-        dying = asyncio.create_task(victim.die())
-        answer = await asking
-        await dying
+        lost_host = world.fabric.hosts[world.fabric.hosts[run_at].standing.members[1]]
+        loss = asyncio.create_task(lost_host.die())
+        answer = await pending
+        await loss
         assert answer.event_ids == [str(n) for n in range(1, 61)]
 
     run_world(test, nodes=1)
 
 
-def test_caller_that_leaves_ends_the_run():
+def test_caller_that_leaves_aborts_the_run():
     async def test(world):
         await world.until_formed()
-        asking = asyncio.create_task(world.stream(200))
+        pending = asyncio.create_task(world.stream(200))
         await asyncio.sleep(0.5)
-        asking.cancel()
+        pending.cancel()
         await asyncio.sleep(0.3)
         node = world.nodes["node-0"]
         assert node.relay.in_flight == 0
--- a/mulleinreach/gateway/request/tests/test_upstream_limits.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_limits.py
@@ -7,7 +7,7 @@
 which a node knows its own part. Proof: the sends of each node, which don't change with the line
 that tells the limit.
 
-``test_limits_told_apart.py`` has what must be told apart from it.
+``test_limits_told_apart.py`` has what must be answered_node apart from it.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from mulleinreach.gateway.tests.support import run_world
 
 EIGHT_NODES = {**NO_HOSTS, "nodes": 8}
-AT_ONCE_S = 0.05
+IMMEDIATE_ANSWER_S = 0.05
 # The coordinator of few nodes answers within two of its rounds.
-ONE_ANSWER_S = 0.25
+COORDINATOR_ANSWER_S = 0.25
 # What the limit leaves should be used: so much of it, over a time that is long against it.
-USED = 0.7
+MIN_USED_SHARE = 0.7
 
 
 def call_stock(world):
@@ -81,22 +81,22 @@
         limited = ScriptedUpstream(limit_headers(1.0))
         await start_plain_upstreams(world, limited)
         await until_ready(world)
-        spans = []
+        refusal_times_s = []
 
-        async def ask(node):
+        async def send_order(node):
             began_at = world.clock.now()
             answer = await world.call("/order/1", node=node)
             if answer.status != 200:
-                spans.append(world.clock.now() - began_at)
+                refusal_times_s.append(world.clock.now() - began_at)
                 assert answer.status == 503
                 assert 0 < float(answer.headers["Retry-After"]) < 10
             return answer
 
-        await request_all_nodes(world, 16.0, 10, ask)
+        await request_all_nodes(world, 16.0, 10, send_order)
         assert_limit_kept(limited.arrivals, 1.0, limited.arrivals[0] + 0.5)
         # Who finds out that permits are short waits for one answer, once a second at most.
-        assert max(spans) < ONE_ANSWER_S
-        assert sum(span > AT_ONCE_S for span in spans) <= 16
+        assert max(refusal_times_s) < COORDINATOR_ANSWER_S
+        assert sum(time_s > IMMEDIATE_ANSWER_S for time_s in refusal_times_s) <= 16
 
     run_world(test, **NO_HOSTS)
 
@@ -109,7 +109,7 @@
         await until_ready(world)
         first = world.clock.now()
         await request_all_nodes(world, 40.0, 20, call_stock(world))
-        assert requests_per_s(limited.arrivals, first + 5, first + 40) >= USED * per_s
+        assert requests_per_s(limited.arrivals, first + 5, first + 40) >= MIN_USED_SHARE * per_s
         assert_limit_kept(limited.arrivals, per_s, first + SYSTEM_PROPAGATION_S)
 
     run_world(test, **EIGHT_NODES)
@@ -144,7 +144,7 @@
     run_world(test, **EIGHT_NODES)
 
 
-def test_broken_streams_go_on_within_the_limit():
+def test_broken_streams_resume_within_the_limit():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(5)
@@ -158,18 +158,20 @@
     run_world(test, nodes=1)
 
 
-def test_nodes_that_had_no_such_answer_heed_the_limit_too():
+def test_nodes_that_had_no_such_answer_keep_the_limit_too():
     async def test(world):
         limited = ScriptedUpstream(limit_headers(1.1))
         await start_plain_upstreams(world, limited)
         await until_ready(world)
-        told = next(name for name in world.nodes if name != world.coordinator())
-        await request_repeatedly(3.0, lambda: world.call("/stock/1", method="GET", node=told))
+        answered_node = next(name for name in world.nodes if name != world.coordinator())
+        await request_repeatedly(
+            3.0, lambda: world.call("/stock/1", method="GET", node=answered_node)
+        )
         began_at = world.clock.now()
-        others = [name for name in world.nodes if name != told]
+        others = [name for name in world.nodes if name != answered_node]
         for _ in range(10):
-            asks = [world.call("/stock/1", method="GET", node=name) for name in others]
-            await asyncio.gather(*asks)
+            calls = [world.call("/stock/1", method="GET", node=name) for name in others]
+            await asyncio.gather(*calls)
             await asyncio.sleep(0.1)
         assert sum(at >= began_at for at in limited.arrivals) <= 1.1 + 2
 
@@ -181,11 +183,11 @@
         limited = ScriptedUpstream(limit_headers(2.1))
         await start_plain_upstreams(world, limited, echo_path)
         await until_ready(world)
-        asking = asyncio.create_task(request_all_nodes(world, 30.0, 40, call_stock(world)))
+        pending = asyncio.create_task(request_all_nodes(world, 30.0, 40, call_stock(world)))
         for _ in range(3):
             await asyncio.sleep(7)
             await world.kill_node(world.coordinator())
-        await asking
+        await pending
         since = limited.arrivals[0] + SYSTEM_PROPAGATION_S
         assert_limit_kept(limited.arrivals, 2.1, since)
         assert requests_per_s(limited.arrivals, since, since + 25) > 0.5
@@ -198,11 +200,11 @@
         limited = ScriptedUpstream(limit_headers(2.1))
         await start_plain_upstreams(world, limited, echo_path)
         await until_ready(world)
-        asking = asyncio.create_task(request_all_nodes(world, 20.0, 40, call_stock(world)))
+        pending = asyncio.create_task(request_all_nodes(world, 20.0, 40, call_stock(world)))
         await asyncio.sleep(4)
         for one, other in itertools.combinations(world.nodes, 2):
             world.links.cut_both(one, other)
-        await asking
+        await pending
         since = limited.arrivals[0] + SYSTEM_PROPAGATION_S
         assert_limit_kept(limited.arrivals, 2.1, since)
         assert requests_per_s(limited.arrivals, since + 6, since + 16) > 0
@@ -210,7 +212,7 @@
     run_world(test, **EIGHT_NODES)
 
 
-def test_limit_ends_when_answers_name_none_any_more():
+def test_limit_ends_when_answers_stop_naming_it():
     async def test(world):
         limited = ScriptedUpstream(limit_headers(1.1))
         await start_plain_upstreams(world, limited)
@@ -224,7 +226,7 @@
     run_world(test, **EIGHT_NODES)
 
 
-def test_upstream_that_takes_nothing_is_asked_now_and_then_until_it_takes_more():
+def test_upstream_with_a_zero_limit_is_retried_until_the_limit_ends():
     async def test(world):
         limited = ScriptedUpstream(limit_headers(0.0))
         await start_plain_upstreams(world, limited)
--- a/mulleinreach/gateway/request/tests/test_upstream_notices.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_notices.py
@@ -35,18 +35,18 @@
 from mulleinreach.standins.gateway.store import UPSTREAMS
 
 # The operators' bound on how soon an upstream that leaves gets nothing more.
-LEAVING_BOUND_S = 2.0
-AT_ONCE_S = 0.05
+MAX_LEAVING_S = 2.0
+IMMEDIATE_ANSWER_S = 0.05
 
 
-def resting_desk() -> ScriptedUpstream:
+def make_resting_upstream() -> ScriptedUpstream:
     """Return a plain upstream that turns each request away and asks for rest."""
     desk = ScriptedUpstream(REST_HEADERS)
     desk.refuses = True
     return desk
 
 
-def test_head_that_asks_for_rest_gets_none_until_it_is_over():
+def test_head_that_asks_for_rest_gets_no_request_until_it_ends():
     async def test(world):
         await world.until_formed()
         head, *_ = large_heads(world)
@@ -60,9 +60,9 @@
     run_world(test, nodes=1)
 
 
-def test_plain_upstream_that_asks_for_rest_gets_none_until_it_is_over():
+def test_plain_upstream_that_asks_for_rest_gets_no_request_until_it_ends():
     async def test(world):
-        resting = resting_desk()
+        resting = make_resting_upstream()
         await start_plain_upstreams(world, resting, echo_path)
         await request_repeatedly(8.0, lambda: world.call("/stock/1", method="GET"))
         for asked_at in resting.arrivals:
@@ -72,7 +72,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_upstream_that_has_run_what_it_answers_503_is_left_to_rest_too():
+def test_rest_asked_for_by_a_503_that_is_no_refusal_counts_too():
     async def test(world):
         arrivals = []
 
@@ -90,28 +90,30 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_callers_are_told_at_once_when_the_first_of_all_rests_ends():
+def test_callers_get_retry_after_at_once_when_all_upstreams_rest():
     async def test(world):
-        desks = [resting_desk(), resting_desk()]
-        await start_plain_upstreams(world, *desks)
+        resting_upstreams = [make_resting_upstream(), make_resting_upstream()]
+        await start_plain_upstreams(world, *resting_upstreams)
         for _ in range(2):
             await world.call("/stock/1", method="GET")
-        asked_at = min(desk.arrivals[0] for desk in desks)
+        asked_at = min(desk.arrivals[0] for desk in resting_upstreams)
         await asyncio.sleep(1.0)
         sent_at = world.clock.now()
         answer = await world.call("/order/1")
         assert answer.status == 503
-        assert world.clock.now() - sent_at < AT_ONCE_S
-        back_at = world.clock.now() + float(answer.headers["Retry-After"])
-        assert back_at >= asked_at + REST_S
-        assert all(count_during_rest(desk.arrivals, desk.arrivals[0]) == 0 for desk in desks)
+        assert world.clock.now() - sent_at < IMMEDIATE_ANSWER_S
+        retry_at = world.clock.now() + float(answer.headers["Retry-After"])
+        assert retry_at >= asked_at + REST_S
+        assert all(
+            count_during_rest(desk.arrivals, desk.arrivals[0]) == 0 for desk in resting_upstreams
+        )
 
     run_world(test, **NO_HOSTS)
 
 
-def test_second_send_goes_to_no_upstream_that_rests():
+def test_second_send_goes_to_no_resting_upstream():
     async def test(world):
-        failing, resting = ScriptedUpstream(), resting_desk()
+        failing, resting = ScriptedUpstream(), make_resting_upstream()
         await start_plain_upstreams(world, failing, resting)
         while not resting.arrivals:
             await world.call("/stock/1", method="GET")
@@ -124,7 +126,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_broken_stream_goes_on_at_no_head_that_rests():
+def test_broken_stream_resumes_at_no_resting_head():
     async def test(world):
         await world.until_formed()
         breaking, resting = large_heads(world)
@@ -142,7 +144,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 500, 503])
-def test_plain_upstream_that_says_it_leaves_gets_nothing_more(status):
+def test_plain_upstream_that_says_it_leaves_gets_no_more_requests(status):
     async def test(world):
         leaving = ScriptedUpstream(LEAVING_HEADERS)
         leaving.refuses = status == 503
@@ -156,7 +158,7 @@
         await start_plain_upstreams(world, answer, echo_path)
         await request_repeatedly(8.0, lambda: world.call("/stock/1", method="GET"))
         first = leaving.arrivals[0]
-        assert leaving.arrivals_between(first + LEAVING_BOUND_S, float("inf")) == 0
+        assert leaving.arrivals_between(first + MAX_LEAVING_S, float("inf")) == 0
 
     run_world(test, **NO_HOSTS)
 
@@ -166,7 +168,7 @@
         leaving = ScriptedUpstream(LEAVING_HEADERS)
         await start_plain_upstreams(world, leaving)
         assert (await world.call("/order/1")).status == 200
-        await asyncio.sleep(LEAVING_BOUND_S)
+        await asyncio.sleep(MAX_LEAVING_S)
         answer = await world.call("/order/1")
         assert answer.status == 503
         assert len(leaving.arrivals) == 1
@@ -174,18 +176,18 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_head_that_says_so_as_its_stream_begins_gets_nothing_more():
+def test_head_that_announces_leaving_in_a_stream_gets_no_more_requests():
     async def test(world):
         await world.until_formed()
         head, *_ = large_heads(world)
         head.headers = LEAVING_HEADERS
         await request_repeatedly(8.0, lambda: world.stream(2))
-        assert [at for at in head.arrivals if at > head.arrivals[0] + LEAVING_BOUND_S] == []
+        assert [at for at in head.arrivals if at > head.arrivals[0] + MAX_LEAVING_S] == []
 
     run_world(test, nodes=1)
 
 
-def test_answer_that_breaks_off_has_said_that_its_upstream_leaves():
+def test_notice_of_a_cut_answer_that_its_upstream_leaves_counts():
     async def test(world):
         arrivals = []
 
@@ -200,12 +202,12 @@
 
         await start_plain_upstreams(world, break_off_and_leave, echo_path)
         await request_repeatedly(6.0, lambda: world.call("/stock/1", method="GET"))
-        assert [at for at in arrivals if at > arrivals[0] + LEAVING_BOUND_S] == []
+        assert [at for at in arrivals if at > arrivals[0] + MAX_LEAVING_S] == []
 
     run_world(test, **NO_HOSTS)
 
 
-def test_upstream_that_leaves_is_still_left_alone_when_its_row_lapses_and_is_back():
+def test_upstream_that_leaves_stays_excluded_when_its_row_lapses_and_returns():
     """A heartbeat that comes late may write the row of an upstream once more."""
 
     async def test(world):
@@ -215,7 +217,7 @@
             await world.call("/stock/1", method="GET")
         row = world.plain["desk-0"].upstream
         world.store.put(UPSTREAMS, "desk-0", None)
-        await asyncio.sleep(LEAVING_BOUND_S)
+        await asyncio.sleep(MAX_LEAVING_S)
         world.store.put(UPSTREAMS, "desk-0", row)
         await request_repeatedly(2.0, lambda: world.call("/stock/1", method="GET"))
         assert len(leaving.arrivals) == 1
@@ -223,7 +225,7 @@
     run_world(test, **NO_HOSTS)
 
 
-def test_host_that_says_in_answers_to_questions_that_it_leaves_joins_nothing_more():
+def test_host_whose_probe_answer_says_that_it_leaves_joins_no_group():
     """The coordinator asks hosts before they join; the row that tells it may never come."""
 
     async def test(world):
@@ -233,18 +235,18 @@
         leaving, *_ = standbys(world, "domain-0")
         leaving.headers = LEAVING_HEADERS
         await coordinator.operator.probe(leaving.upstream)
-        kept = record_events(coordinator)
+        events = record_events(coordinator)
         head = next(h for h in large_heads(world) if h.upstream.domain == "domain-0")
         await head.die(listed_for_s=0.5)
         await asyncio.sleep(10)
-        joined = [line["members"].split(",") for line in event_fields(kept, "group_joining")]
+        joined = [line["members"].split(",") for line in event_fields(events, "group_joining")]
         assert joined
         assert all(leaving.id not in members for members in joined)
 
     run_world(test, nodes=1, domains=2, hosts_per_domain=8)
 
 
-def test_order_that_is_turned_away_with_a_rest_is_not_given_again_and_again():
+def test_order_that_is_refused_with_a_rest_is_not_repeated():
     async def test(world):
         await world.until_formed()
         (coordinator,) = world.nodes.values()
--- a/mulleinreach/gateway/request/tests/test_urgency.py
+++ b/mulleinreach/gateway/request/tests/test_urgency.py
@@ -7,7 +7,12 @@
 
 import pytest
 
-from mulleinreach.gateway.request.urgency import ENOUGH_SEEN, LATE_PRIORITY, WAITS_KEPT, FirstWaits
+from mulleinreach.gateway.request.urgency import (
+    LATE_PRIORITY,
+    MAX_WAITS_PER_ROUTE,
+    MIN_WAITS,
+    FirstWaitEstimator,
+)
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import (
     LARGE,
@@ -20,7 +25,7 @@
 IN_TIME_S = 0.1
 
 
-async def teach(world, deadlines_s):
+async def send_with_deadlines(world, deadlines_s):
     """Let a node see how long callers wait that ask for the first time; all are in time."""
     for deadline_s in deadlines_s:
         await world.stream(1, deadline_s=deadline_s)
@@ -32,34 +37,34 @@
     return random.Random(1).sample(waits, count)
 
 
-def test_request_that_comes_back_late_gives_way():
+def test_late_retry_gets_the_late_priority():
     async def test(world):
         await world.until_formed()
-        await teach(world, [8.0] * ENOUGH_SEEN)
+        await send_with_deadlines(world, [8.0] * MIN_WAITS)
         await world.stream(1, deadline_s=7.8)
         await world.stream(1, deadline_s=6.0)
         seen = list(world.fabric.checks.priorities.values())
-        assert seen == [["2"]] * (ENOUGH_SEEN + 1) + [[str(LATE_PRIORITY)]]
+        assert seen == [["2"]] * (MIN_WAITS + 1) + [[str(LATE_PRIORITY)]]
 
     run_world(test, nodes=1)
 
 
 @pytest.mark.parametrize("spread", [0.0, 0.15, 0.30, 0.60])
-def test_callers_who_differ_in_their_patience_are_not_late(spread):
+def test_callers_with_spread_deadlines_are_not_late(spread):
     async def test(world):
         await world.until_formed()
-        await teach(world, spread_waits(8.0, spread))
+        await send_with_deadlines(world, spread_waits(8.0, spread))
         seen = list(world.fabric.checks.priorities.values())
         assert seen == [["2"]] * 60
 
     run_world(test, nodes=1)
 
 
-def test_two_kinds_of_caller_on_a_route_are_not_late():
+def test_callers_with_two_kinds_of_deadline_are_not_late():
     async def test(world):
         await world.until_formed()
         waits = [8.0] * 54 + [3.0] * 6
-        await teach(world, random.Random(1).sample(waits, 60))
+        await send_with_deadlines(world, random.Random(1).sample(waits, 60))
         await world.stream(1, deadline_s=3.0)
         seen = list(world.fabric.checks.priorities.values())[30:]
         assert seen == [["2"]] * 31
@@ -67,31 +72,31 @@
     run_world(test, nodes=1)
 
 
-def test_late_callers_are_told_from_impatient_ones():
-    waits = FirstWaits()
+def test_late_callers_are_distinguished_from_short_deadlines():
+    waits = FirstWaitEstimator()
     for wait_s in spread_waits(8.0, 0.15):
         waits.note(STREAM, wait_s, IN_TIME_S)
     assert not waits.is_late(STREAM, 8.0 * 0.85)
     assert waits.is_late(STREAM, 8.0 * 0.85 - 2 * STREAM.objective_s)
 
 
-def test_answers_that_come_late_teach_nothing():
-    waits = FirstWaits()
-    for _ in range(ENOUGH_SEEN):
+def test_late_answers_do_not_change_the_first_wait():
+    waits = FirstWaitEstimator()
+    for _ in range(MIN_WAITS):
         waits.note(STREAM, 8.0, IN_TIME_S)
-    for _ in range(WAITS_KEPT):
+    for _ in range(MAX_WAITS_PER_ROUTE):
         waits.note(STREAM, 5.0, STREAM.objective_s + 0.1)
     assert waits.is_late(STREAM, 5.0)
 
 
-def test_retries_of_an_outage_do_not_hide_that_they_are_late():
-    waits = FirstWaits()
+def test_retries_during_an_outage_still_count_as_late():
+    waits = FirstWaitEstimator()
     for wait_s in [8.0] * 190 + [5.0] * 9:
         waits.note(STREAM, wait_s, IN_TIME_S)
     assert waits.is_late(STREAM, 5.0)
 
 
-def test_stream_that_was_moved_goes_first():
+def test_moved_stream_gets_the_highest_priority():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
@@ -106,30 +111,30 @@
     run_world(test, nodes=1)
 
 
-def test_first_wait_is_learned_anew_after_a_while():
-    waits = FirstWaits()
-    for _ in range(WAITS_KEPT):
+def test_first_wait_adapts_to_recent_requests():
+    waits = FirstWaitEstimator()
+    for _ in range(MAX_WAITS_PER_ROUTE):
         waits.note(STREAM, 60.0, IN_TIME_S)
-    for _ in range(WAITS_KEPT // 10):
+    for _ in range(MAX_WAITS_PER_ROUTE // 10):
         waits.note(STREAM, 6.0, IN_TIME_S)
     assert not waits.is_late(STREAM, 6.0)
     assert waits.is_late(STREAM, 5.0)
 
 
-def test_nobody_is_late_until_enough_requests_were_seen():
-    waits = FirstWaits()
-    for _ in range(ENOUGH_SEEN - 1):
+def test_no_request_is_late_until_enough_were_seen():
+    waits = FirstWaitEstimator()
+    for _ in range(MIN_WAITS - 1):
         waits.note(STREAM, STREAM.timeout_s, IN_TIME_S)
     assert not waits.is_late(STREAM, 1.0)
     waits.note(STREAM, STREAM.timeout_s, IN_TIME_S)
     assert waits.is_late(STREAM, 1.0)
 
 
-def test_late_requests_leave_places_to_those_that_can_be_in_time():
+def test_late_requests_leave_slots_to_those_that_can_be_in_time():
     async def test(world):
         await world.until_formed()
         await asyncio.sleep(2)
-        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(ENOUGH_SEEN)))
+        await asyncio.gather(*(world.stream(1, deadline_s=8.0) for _ in range(MIN_WAITS)))
         late = [asyncio.create_task(world.stream(40, deadline_s=6.0)) for _ in range(60)]
         await asyncio.sleep(0.5)
         node = world.nodes["node-0"]
@@ -144,11 +149,11 @@
     run_world(test, nodes=1)
 
 
-def test_nodes_that_start_know_what_an_earlier_coordinator_had_learnt():
+def test_new_nodes_restore_the_first_waits_of_an_earlier_coordinator():
     async def test(world):
         await world.until_formed()
         for name in world.nodes:
-            for _ in range(ENOUGH_SEEN):
+            for _ in range(MIN_WAITS):
                 await world.stream(1, deadline_s=8.0, node=name)
         await asyncio.sleep(2)
         for name in list(world.nodes):
--- a/mulleinreach/gateway/request/urgency.py
+++ b/mulleinreach/gateway/request/urgency.py
@@ -27,19 +27,19 @@
 LATE_PRIORITY = 9
 # The part of a route's objective that a request may wait for others and still be in time: an
 # engine needs the rest to read a usual prompt and to write the first event.
-WAIT_SHARE = 0.7
+MAX_QUEUE_FRACTION = 0.7
 # Waits kept of each route, and how many show how callers differ. A node takes two requests a
 # second of a busy route, so these are from the last minutes.
-WAITS_KEPT = 200
-ENOUGH_SEEN = 20
+MAX_WAITS_PER_ROUTE = 200
+MIN_WAITS = 20
 # The share of callers that may wait less than what counts as the shortest first wait. It is
 # larger than the share of retries among the waits that are kept, which would hide late tries,
 # and a kind of caller that is rarer is taken for late. With waits spread evenly over 60% of the
 # longest one, the error is 0.03 of it, less than the objective of usual routes.
-SHORTER_SHARE = 0.05
+IGNORED_SHORT_FRACTION = 0.05
 # Routes told to nodes that start: services have few kinds of request, and the row that
 # carries them stays under 4 KB.
-MAX_TOLD = 50
+MAX_ANNOUNCED_ROUTES = 50
 
 
 def engine_priority(priority: int, stands_back: bool, is_moved: bool) -> int:
@@ -71,7 +71,7 @@
     return min(HIGHEST_PRIORITY + max(0, priority), LOWEST_PRIORITY)
 
 
-def is_kept_waiting(route: Route, priority: int, wait_s: float) -> bool:
+def would_miss_objective(route: Route, priority: int, wait_s: float) -> bool:
     """Whether a request waits so long for others that its first event can't come in time.
 
     Where more requests come than there are places, those that go first are in time and
@@ -88,12 +88,12 @@
 
     >>> from mulleinreach.gateway.model import RouteKind
     >>> route = Route("r", "h.example", "/", RouteKind.STREAMING, 8.0, 0.5, 1, ())
-    >>> is_kept_waiting(route, 1, 0.3), is_kept_waiting(route, 1, 0.4)
+    >>> would_miss_objective(route, 1, 0.3), would_miss_objective(route, 1, 0.4)
     (False, True)
-    >>> is_kept_waiting(route, 0, 0.4)
+    >>> would_miss_objective(route, 0, 0.4)
     False
     """
-    return priority >= route.priority and wait_s > WAIT_SHARE * route.objective_s
+    return priority >= route.priority and wait_s > MAX_QUEUE_FRACTION * route.objective_s
 
 
 @dataclass(frozen=True)
@@ -128,25 +128,25 @@
     """The latest waits of a route's callers."""
 
     def __init__(self) -> None:
-        self._latest: deque[float] = deque(maxlen=WAITS_KEPT)
-        self._shortest_first_s: float | None = None
+        self._latest: deque[float] = deque(maxlen=MAX_WAITS_PER_ROUTE)
+        self._min_first_wait_s: float | None = None
 
     def add(self, wait_s: float) -> None:
         """Take in how long a caller will wait."""
         self._latest.append(wait_s)
-        self._shortest_first_s = None
+        self._min_first_wait_s = None
 
-    def shortest_first_s(self) -> float:
+    def min_first_wait_s(self) -> float:
         """Return what nearly all callers wait for at least; 0 until enough were seen."""
-        if len(self._latest) < ENOUGH_SEEN:
+        if len(self._latest) < MIN_WAITS:
             return 0.0
-        if self._shortest_first_s is None:
-            shorter = int(SHORTER_SHARE * len(self._latest))
-            self._shortest_first_s = sorted(self._latest)[shorter]
-        return self._shortest_first_s
+        if self._min_first_wait_s is None:
+            shorter = int(IGNORED_SHORT_FRACTION * len(self._latest))
+            self._min_first_wait_s = sorted(self._latest)[shorter]
+        return self._min_first_wait_s
 
 
-class FirstWaits:
+class FirstWaitEstimator:
     """Learns how long callers wait for an answer when they first ask, by route.
 
     Explanation
@@ -162,7 +162,7 @@
 
     >>> from mulleinreach.gateway.model import RouteKind
     >>> route = Route("r", "h.example", "/", RouteKind.STREAMING, 8.0, 0.4, 1, ())
-    >>> waits = FirstWaits()
+    >>> waits = FirstWaitEstimator()
     >>> for wait_ms in range(6800, 8000, 10):
     ...     waits.note(route, wait_ms / 1000, answered_s=0.1)
     >>> waits.is_late(route, 6.8), waits.is_late(route, 6.4)
@@ -171,21 +171,21 @@
 
     def __init__(self) -> None:
         self._waits: dict[str, _RouteWaits] = {}
-        self._told: dict[str, float] = {}
+        self._announced: dict[str, float] = {}
 
-    def take_told(self, waits: tuple[CallerTimeout, ...]) -> None:
+    def take_announced(self, waits: tuple[CallerTimeout, ...]) -> None:
         """Take what a coordinator knew, for routes of which this node has seen too little."""
-        self._told = {wait.route: wait.shortest_s for wait in waits}
+        self._announced = {wait.route: wait.shortest_s for wait in waits}
 
     def known(self) -> tuple[CallerTimeout, ...]:
         """Return what is known of the routes that nodes which start should hear of."""
-        routes = list({**self._waits, **self._told})
-        waits = [CallerTimeout(route, self._shortest_first_s(route)) for route in routes]
-        return tuple(wait for wait in waits if wait.shortest_s > 0)[:MAX_TOLD]
+        routes = list({**self._waits, **self._announced})
+        waits = [CallerTimeout(route, self._min_first_wait_s(route)) for route in routes]
+        return tuple(wait for wait in waits if wait.shortest_s > 0)[:MAX_ANNOUNCED_ROUTES]
 
-    def _shortest_first_s(self, route: str) -> float:
+    def _min_first_wait_s(self, route: str) -> float:
         own = self._waits.get(route)
-        return (own.shortest_first_s() if own else 0.0) or self._told.get(route, 0.0)
+        return (own.min_first_wait_s() if own else 0.0) or self._announced.get(route, 0.0)
 
     def note(self, route: Route, wait_s: float, answered_s: float) -> None:
         """Note how long a caller would have waited, and after which time it had its answer.
@@ -197,7 +197,7 @@
 
     def lateness(self, route: Route, wait_s: float) -> Lateness:
         """Return how a caller that waits ``wait_s`` more compares with others of its route."""
-        return Lateness(wait_s, self._shortest_first_s(route.name), route.objective_s)
+        return Lateness(wait_s, self._min_first_wait_s(route.name), route.objective_s)
 
     def is_late(self, route: Route, wait_s: float) -> bool:
         """Whether the answer to a caller that waits ``wait_s`` more can't come in time."""
--- a/mulleinreach/platform/rows.py
+++ b/mulleinreach/platform/rows.py
@@ -13,7 +13,7 @@
 import msgspec
 from msgspec import Meta
 
-from mulleinreach.common.checked import CheckError, Count, Name, Number, check, parse_address
+from mulleinreach.common.checked import CheckError, Count, Name, Number, parse_address, validate
 from mulleinreach.gateway.upstream import (
     Membership,
     MemberState,
@@ -101,7 +101,7 @@
     """
     if not _ROW_KEY.fullmatch(name):
         raise CheckError("key: invalid characters or length")
-    row = check(_Row, raw)
+    row = validate(_Row, raw)
     return Upstream(
         id=incarnation_id(name, row.born),
         service=row.service,
@@ -122,7 +122,7 @@
 
     A report is rejected if the replica has restarted since ``known`` was read.
     """
-    report = check(_Report, raw)
+    report = validate(_Report, raw)
     start = start_time_ms(known.id)
     if start is not None and report.born not in (None, start):
         raise CheckError(f"{upstream_name(known.id)} has restarted")
--- a/mulleinreach/platform/store.py
+++ b/mulleinreach/platform/store.py
@@ -139,7 +139,7 @@
         self, method: str, call: str, timeout_s: float, **options
     ) -> HttpResponse | CallFailed:
         """Send a request and record the era in its response."""
-        answer = await self._calls.ask(method, self._url + call, timeout_s, **options)
+        answer = await self._calls.request(method, self._url + call, timeout_s, **options)
         if isinstance(answer, HttpResponse):
             self._update_era(self._era_of(answer))
         return answer
--- a/mulleinreach/requests/claims.py
+++ b/mulleinreach/requests/claims.py
@@ -328,12 +328,12 @@
         if not isinstance(snapshot, Snapshot):
             return 0
         limit = self._clock.wall() - RETENTION_S
-        old = [r for r in snapshot.rows if r.value is not None and r.value["at"] < limit]
-        if not old:
+        expired = [r for r in snapshot.rows if r.value is not None and r.value["at"] < limit]
+        if not expired:
             return 0
-        conditions = [Condition(row.key, row.version) for row in old]
-        result = await self._table.transact(conditions, [Write(row.key, None) for row in old])
-        return len(old) if isinstance(result, Committed) else 0
+        conditions = [Condition(row.key, row.version) for row in expired]
+        result = await self._table.transact(conditions, [Write(row.key, None) for row in expired])
+        return len(expired) if isinstance(result, Committed) else 0
 
 
 def _resolve(batch: list[_PendingWrite], result: TransactionResult) -> None:
--- a/mulleinreach/requests/journal.py
+++ b/mulleinreach/requests/journal.py
@@ -17,7 +17,7 @@
     request_id: str
     organisation: str
     service: str
-    began_at: float
+    started_at: float
     steps: list[tuple[float, str]] = field(default_factory=list)
 
     def lines(self) -> list[str]:
@@ -44,7 +44,7 @@
 
     def note(self, trace: RequestTrace, text: str) -> None:
         """Add a step; beyond ``MAX_STEPS`` only the last is kept up to date."""
-        step = (self._clock.now() - trace.began_at, text)
+        step = (self._clock.now() - trace.started_at, text)
         if len(trace.steps) >= MAX_STEPS:
             trace.steps[-1] = step
         else:
--- a/mulleinreach/requests/runner.py
+++ b/mulleinreach/requests/runner.py
@@ -129,12 +129,12 @@
         candidate: Candidate | None = None
         while True:
             candidate = await self._next_candidate(call, attempts, candidate, None)
-            began = self._clock.now()
+            attempt_started_at = self._clock.now()
             with self._hold_slot(call, candidate) as slot:
                 slot.result, answer = await self._try_complete(call, candidate, attempts)
             self._handle_attempt_result(call, candidate, attempts, slot.result, None)
             if answer is not None:
-                self._record_duration(call.service.name, self._clock.now() - began)
+                self._record_duration(call.service.name, self._clock.now() - attempt_started_at)
                 return answer
 
     def _record_duration(self, service: str, seconds: float) -> None:
@@ -173,7 +173,7 @@
             )
         except MulleinreachError as error:
             raise self._final_error(call, attempts, error) from None
-        if self._clock.now() - call.trace.began_at > NO_REPLICA_POLL_S:
+        if self._clock.now() - call.trace.started_at > NO_REPLICA_POLL_S:
             self._journal.note(call.trace, "left the queue")
         return candidate
 
@@ -205,8 +205,8 @@
     def _acquire_slot(self, call: ModelCall, attempts: AttemptHistory) -> Candidate | None:
         """Choose a replica with room and count the request in; ``None`` if none has."""
         usable = self._replicas.candidates(call.service.name)
-        fresh = [c for c in usable if c.replica not in attempts.failed_replicas]
-        choice = self._router.choose(fresh or usable, call.affinity)
+        untried = [c for c in usable if c.replica not in attempts.failed_replicas]
+        choice = self._router.choose(untried or usable, call.affinity)
         if choice is None:
             return None
         self._replicas.note_sent(choice.candidate.replica)
