--- a/mulleinreach/admission/queue.py
+++ b/mulleinreach/admission/queue.py
@@ -132,7 +132,7 @@
                 queue.admission_times.append(self._clock.now())
                 return slot
         flow = self._get_flow(queue, ticket)
-        self._reject_if_too_late(queue, flow, ticket)
+        self._reject_if_overloaded(queue, flow, ticket)
         waiting = _Waiter(ticket, try_acquire, asyncio.get_running_loop().create_future())
         flow.waiting.append(waiting)
         return await self._wait(queue, waiting, release)
@@ -164,7 +164,7 @@
             self.shed += 1
             raise self._overloaded(queue, "too little of its time was left in the queue") from None
 
-    def _reject_if_too_late(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> None:
+    def _reject_if_overloaded(self, queue: _ServiceQueue, flow: _Flow, ticket: Ticket) -> None:
         """Refuse a request that would wait past its deadline, or beyond the queue's length."""
         share = self._weight_share(queue, flow, ticket)
         own = flow.count_waiting()
--- a/mulleinreach/admission/tests/test_queue.py
+++ b/mulleinreach/admission/tests/test_queue.py
@@ -30,7 +30,7 @@
     return Ticket("s", organisation, weight, priority, deadline)
 
 
-async def serve(queue, slots, count):
+async def free_slots(queue, slots, count):
     """Free one place after the other; the queue lets in whose turn it is."""
     for _ in range(count):
         slots.free += 1
@@ -45,7 +45,7 @@
     run_virtual(main())
 
 
-def enter_all(queue, slots, tickets, entered):
+def start_requests(queue, slots, tickets, entered):
     async def one(t):
         await queue.enter(t, slots.take, slots.release)
         entered.append(t.organisation)
@@ -53,13 +53,13 @@
     return [asyncio.create_task(one(t)) for t in tickets]
 
 
-def test_turns_follow_the_weights():
+def test_admissions_follow_the_weights():
     async def scenario(queue, slots):
         entered = []
         tickets = [ticket("a", 3.0) for _ in range(40)] + [ticket("b", 1.0) for _ in range(40)]
-        tasks = enter_all(queue, slots, tickets, entered)
+        tasks = start_requests(queue, slots, tickets, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 40)
+        await free_slots(queue, slots, 40)
         counts = Counter(entered)
         assert abs(counts["a"] - 30) <= 1
         for task in tasks:
@@ -68,16 +68,16 @@
     run(scenario)
 
 
-def test_those_that_give_up_cost_their_organisation_nothing():
+def test_cancelled_requests_do_not_count():
     async def scenario(queue, slots):
         entered = []
-        given_up = enter_all(queue, slots, [ticket("b")] * 30, entered)
+        cancelled = start_requests(queue, slots, [ticket("b")] * 30, entered)
         await asyncio.sleep(0.1)
-        for task in given_up:
+        for task in cancelled:
             task.cancel()
-        tasks = enter_all(queue, slots, [ticket("a")] * 20 + [ticket("b")] * 20, entered)
+        tasks = start_requests(queue, slots, [ticket("a")] * 20 + [ticket("b")] * 20, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 20)
+        await free_slots(queue, slots, 20)
         assert abs(Counter(entered)["a"] - 10) <= 1
         for task in tasks:
             task.cancel()
@@ -89,15 +89,15 @@
     async def scenario(queue, slots):
         entered = []
         tickets = [ticket("low", priority=2)] * 3 + [ticket("high", priority=0)] * 3
-        enter_all(queue, slots, tickets, entered)
+        start_requests(queue, slots, tickets, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 6)
+        await free_slots(queue, slots, 6)
         assert entered == ["high"] * 3 + ["low"] * 3
 
     run(scenario)
 
 
-def test_a_deadline_that_passes_in_the_queue_is_answered_then():
+def test_waiting_request_is_rejected_at_its_deadline():
     async def scenario(queue, slots):
         loop = asyncio.get_running_loop()
         with pytest.raises(MulleinreachError) as raised:
@@ -108,12 +108,12 @@
     run(scenario)
 
 
-def test_a_request_that_cannot_make_its_deadline_is_refused_at_once():
+def test_request_that_would_miss_its_deadline_is_rejected_at_once():
     async def scenario(queue, slots):
         entered = []
-        tasks = enter_all(queue, slots, [ticket("a")] * 30, entered)
+        tasks = start_requests(queue, slots, [ticket("a")] * 30, entered)
         await asyncio.sleep(0.1)
-        await serve(queue, slots, 10)  # ten a second
+        await free_slots(queue, slots, 10)  # ten a second
         began = asyncio.get_running_loop().time()
         with pytest.raises(MulleinreachError) as raised:
             await queue.enter(ticket("a", deadline=began + 1), slots.take, slots.release)
@@ -125,9 +125,9 @@
     run(scenario)
 
 
-def test_a_place_given_to_a_request_that_has_left_is_given_back():
+def test_slot_of_a_cancelled_request_is_released():
     async def scenario(queue, slots):
-        (task,) = enter_all(queue, slots, [ticket("a")], [])
+        (task,) = start_requests(queue, slots, [ticket("a")], [])
         await asyncio.sleep(0.1)
         slots.free = 1
         queue.admit_waiting("s")
--- a/mulleinreach/admission/tests/test_shares.py
+++ b/mulleinreach/admission/tests/test_shares.py
@@ -23,14 +23,14 @@
     assert len(late) / 15.0 > 0.8 * RATE
 
 
-def test_without_lending_a_node_keeps_to_its_own_part():
+def test_isolated_node_is_limited_to_its_own_share():
     exchange = Exchange()
     exchange.cut = {frozenset((a, b)) for a in NODES for b in NODES if a != b}
     exchange.run("one node", seconds=20.0)
     assert len(exchange.admitted) <= RATE / len(NODES) * 21 + 1
 
 
-def test_what_is_lent_is_not_used_twice_when_the_answer_is_lost():
+def test_lent_share_stays_reserved_when_the_grant_is_lost():
     exchange = Exchange()
     lender = exchange.nodes[NODES[0]]
     before = lender.snapshot()["shop"][0]
@@ -58,7 +58,7 @@
     assert admitted == concurrency
 
 
-def test_a_refusal_says_when_to_come_back():
+def test_rejection_has_a_retry_after():
     exchange = Exchange()
     with pytest.raises(MulleinreachError) as raised:
         for _ in range(1000):
--- a/mulleinreach/gateway/model.py
+++ b/mulleinreach/gateway/model.py
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """Limits on the sizes and timeouts of callers' requests."""
+    """RequestLimits on the sizes and timeouts of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
--- a/mulleinreach/requests/stream.py
+++ b/mulleinreach/requests/stream.py
@@ -89,8 +89,10 @@
 
     def feed(self, data: bytes) -> bytes:
         """Take what arrived; returns what is to be delivered, which may be nothing."""
-        is_plain = not self._partial_event and not self._buffered and data.endswith(EVENT_SEPARATOR)
-        if is_plain and data.count(EVENT_SEPARATOR) == 1:
+        is_aligned = (
+            not self._partial_event and not self._buffered and data.endswith(EVENT_SEPARATOR)
+        )
+        if is_aligned and data.count(EVENT_SEPARATOR) == 1:
             # The common case: one whole event, the next one.
             event = data[:-2]
             if event.startswith(b"%b%d\ndata: " % (self._prefix, self.next_position)):
--- a/mulleinreach/requests/tests/test_stream.py
+++ b/mulleinreach/requests/tests/test_stream.py
@@ -92,7 +92,7 @@
     assert raised.value.fault is StreamFault.GARBAGE
 
 
-def test_an_event_that_never_ends_is_bounded():
+def test_unterminated_event_is_rejected():
     stream = OrderedStream(REQUEST)
     stream.begin_attempt(1)
     with pytest.raises(StreamError):
@@ -100,7 +100,7 @@
             stream.feed(b"x" * 10_000)
 
 
-def test_text_that_is_too_long_to_keep_is_said_so():
+def test_text_too_long_to_keep_is_none():
     stream = OrderedStream(REQUEST, max_kept_bytes=100)
     stream.begin_attempt(1)
     stream.feed(whole())
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -88,13 +88,13 @@
         health: ReplicaHealthTracker,
         clock: Clock,
         leaving_hosts: Callable[[], set[str]],
-        count_nodes: Callable[[], int],
+        get_node_count: Callable[[], int],
     ):
         self._directory = directory
         self._health = health
         self._clock = clock
         self._leaving_hosts = leaving_hosts
-        self._count_nodes = count_nodes
+        self._get_node_count = get_node_count
         self._cache = cache
         self.changes = 0
         self._groups: dict[str, list[GroupRecord]] = {}
@@ -138,7 +138,7 @@
     def candidates(self, service: str) -> list[Candidate]:
         """Return the replicas of a service that may be sent work at this moment."""
         leaving = self._leaving_hosts()
-        nodes = self._count_nodes()
+        nodes = self._get_node_count()
         found = []
         for group in self._groups.get(service, []):
             if self.why_unusable(group, leaving) is None:
@@ -187,6 +187,6 @@
             return
         load.failures += 1
         if load.failures >= FAILURES_TO_EJECT:
-            doublings = load.failures - FAILURES_TO_EJECT
-            ejection_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** min(doublings, 10))
+            backoff_exponent = load.failures - FAILURES_TO_EJECT
+            ejection_s = min(MAX_EJECTION_S, MIN_EJECTION_S * 2 ** min(backoff_exponent, 10))
             load.ejected_until = self._clock.now() + ejection_s
--- a/mulleinreach/routing/tests/test_router.py
+++ b/mulleinreach/routing/tests/test_router.py
@@ -47,13 +47,13 @@
     assert only.candidate.replica == "r3"
 
 
-def test_a_node_may_use_its_fair_part_of_a_replica_that_reports_show_full():
+def test_node_may_use_its_fair_share_of_a_replica_reported_full():
     reported = Candidate("r0", 1, ADDRESS, load=20, slots=16, in_flight=6, nodes=3)
     assert reported.has_capacity
     assert not Candidate("r0", 1, ADDRESS, load=20, slots=16, in_flight=7, nodes=3).has_capacity
 
 
-def test_a_replica_that_goes_moves_only_its_own_conversations():
+def test_removed_replica_moves_only_its_own_conversations():
     keys = [f"c{number}" for number in range(300)]
     before = {k: router().choose(candidates(), k).candidate.replica for k in keys}
     fewer = [c for c in candidates() if c.replica != "r2"]
@@ -61,7 +61,7 @@
     assert all(after[k] == before[k] for k in keys if before[k] != "r2")
 
 
-def test_without_a_key_the_less_loaded_of_two_is_taken():
+def test_without_a_key_the_less_loaded_of_two_is_chosen():
     loads = dict.fromkeys(NAMES, 10) | {"r0": 0}
     chosen = [router().choose(candidates(loads), "").candidate for _ in range(3)]
     assert {c.replica for c in chosen} <= set(NAMES)
