--- a/mulleinreach/platform/tests/test_ports.py
+++ b/mulleinreach/platform/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""The same checks of the sources and the lease, on memory and on the platform's protocol."""
+"""Configurations, upstreams and the lease, on in-memory ports and on the platform's protocol."""
 
 import asyncio
 from dataclasses import replace
@@ -30,10 +30,10 @@
         ports.put_configuration(3)
         read = await ports.configurations.read()
         assert read.configuration.version == 3
-        asking = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
+        waiting = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
         await asyncio.sleep(1)
         ports.put_configuration(9)
-        waited = await asking
+        waited = await waiting
         assert waited.configuration.version == 9
         assert waited.revision > read.revision
 
@@ -60,12 +60,12 @@
         ports.put_evacuation("hall-c", {})
         ports.put_evacuation("hall-c", None)
         read = await ports.configurations.read()
-        # Of halls that a whole read doesn't name there is no request.
+        # In a complete read, a missing hall has no evacuation request.
         assert (read.evacuations, read.is_whole) == ((EvacuationRow("hall-b", in_b),), True)
-        asking = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
+        waiting = asyncio.create_task(ports.configurations.wait(read.revision, 5.0))
         await asyncio.sleep(1)
         in_a = ports.put_evacuation("hall-a", {})
-        waited = await asking
+        waited = await waiting
         assert (waited.evacuations, waited.is_whole) == ((EvacuationRow("hall-a", in_a),), False)
         assert waited.configuration is None
         ports.put_evacuation("hall-b", None)
@@ -203,7 +203,7 @@
     run_ports(kind, test)
 
 
-# Only the platform's rows can be of another shape.
+# Invalid rows are possible only on the platform's protocol.
 
 
 def test_invalid_rows_are_skipped():
@@ -245,15 +245,15 @@
     run_ports(PlatformPorts, test)
 
 
-@pytest.mark.parametrize("spoilt", [{"held": ["x"]}, {"held": 3}, {"first_waits": ["r"]}])
-def test_lease_is_read_even_if_its_handover_state_is_unreadable(spoilt):
+@pytest.mark.parametrize("invalid", [{"held": ["x"]}, {"held": 3}, {"first_waits": ["r"]}])
+def test_lease_is_read_even_if_its_handover_state_is_unreadable(invalid):
     async def test(ports):
         record = LeaseRecord(
             "a.1", "10.0.0.1:1", 4, 0, "secret", HandoverState(held=(HeldContent(7, 60.0),))
         )
         await ports.lease.write(0, record)
         value = ports.memory.get("mulleinreach", "coordinator").value
-        ports.memory.put("mulleinreach", "coordinator", {**value, **spoilt})
+        ports.memory.put("mulleinreach", "coordinator", {**value, **invalid})
         read = await ports.lease.read()
         assert read.record == replace(record, inheritance=HandoverState())
 
--- a/mulleinreach/platform/tests/test_restored_ports.py
+++ b/mulleinreach/platform/tests/test_restored_ports.py
@@ -1,4 +1,4 @@
-"""What the ports tell of a store that came back from a copy, whose versions are given out again."""
+"""Ports detect that the store was restored from a backup and assigns versions again."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from mulleinreach.platform.tests.port_kinds import HOST, PlatformPorts, both_ports, run_ports
 
 RECORD = LeaseRecord("a.1", "10.0.0.1:1", 1, 0, "secret")
-OTHER = LeaseRecord("b.1", "10.0.0.2:1", 2, 0, "other")
+OTHER_RECORD = LeaseRecord("b.1", "10.0.0.2:1", 2, 0, "other")
 WAIT_S = 0.2
 
 
@@ -54,10 +54,10 @@
             ports.put_upstream(HOST)
         assert await ports.upstreams.wait(read.revision, WAIT_S) == HistoryLost()
         assert await ports.configurations.wait(read.revision, WAIT_S) == HistoryLost()
-        again = await ports.upstreams.read()
+        restored = await ports.upstreams.read()
         ports.put_upstream(replace(HOST, id="u-2"))
-        (told,) = (await ports.upstreams.wait(again.revision, WAIT_S)).upstreams
-        assert told.id == "u-2"
+        (changed,) = (await ports.upstreams.wait(restored.revision, WAIT_S)).upstreams
+        assert changed.id == "u-2"
 
     run_ports(kind, test)
 
@@ -71,7 +71,7 @@
         read = await ports.upstreams.read()
         waiting = asyncio.create_task(ports.upstreams.wait(read.revision, 30.0))
         await asyncio.sleep(1)
-        # Only the answers to new calls tell it.
+        # Only responses to new calls report the restore.
         ports.memory.restore(copy, ends_waits=False)
         await ports.configurations.read()
         async with asyncio.timeout(0.2):
@@ -80,20 +80,20 @@
     run_ports(PlatformPorts, test)
 
 
-@pytest.mark.parametrize("knows", [False, True])
+@pytest.mark.parametrize("has_seen_restore", [False, True])
 @both_ports
-def test_lease_is_not_written_under_a_reused_version(kind, knows):
+def test_lease_is_not_written_under_a_reused_version(kind, has_seen_restore):
     async def test(ports):
         ports.put_upstream(HOST)
         copy = ports.memory.copy()
         written = await ports.lease.write(0, RECORD)
         ports.memory.restore(copy)
-        again = ports.memory.put("mulleinreach", "coordinator", {})
+        reused_version = ports.memory.put("mulleinreach", "coordinator", {})
         if kind is not PlatformPorts:
-            again = ports.memory.put("lease", "coordinator", OTHER)
-            ports.memory.version = again = version_of(written.version)
-        assert again == version_of(written.version)
-        if knows:
+            reused_version = ports.memory.put("lease", "coordinator", OTHER_RECORD)
+            ports.memory.version = reused_version = version_of(written.version)
+        assert reused_version == version_of(written.version)
+        if has_seen_restore:
             await ports.upstreams.read()
         assert await ports.lease.write(written.version, RECORD) == LeaseConflict()
 
@@ -153,13 +153,13 @@
     run_ports(PlatformPorts, test)
 
 
-@pytest.mark.parametrize("told", ["", "x", "-1", "²", "1.5"])
-def test_unreadable_era_header_keeps_the_known_era(told):
+@pytest.mark.parametrize("header", ["", "x", "-1", "²", "1.5"])
+def test_unreadable_era_header_keeps_the_known_era(header):
     async def test(ports):
         ports.memory.restore(ports.memory.copy())
         ports.put_upstream(HOST)
         before = await ports.upstreams.read()
-        ports.standin.headers[ERA_HEADER] = told
+        ports.standin.headers[ERA_HEADER] = header
         after = await ports.upstreams.read()
         assert after.revision == before.revision
 
--- a/mulleinreach/platform/tests/test_silent_store.py
+++ b/mulleinreach/platform/tests/test_silent_store.py
@@ -1,4 +1,4 @@
-"""Connections to the store that fall silent without a reset are given up within their bounds."""
+"""Calls on connections to the store that stall without a reset end within their timeouts."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 STORE_ADDRESS = Address("10.9.0.1", 8000)
 TABLE = "servers"
 WAIT_S = 2.0
-# A call on a new connection: the store takes 4 ms.
+# Upper bound for a call on a new connection.
 ANSWER_BOUND_S = 0.1
-# So many connections are open while three things are asked at once.
+# Number of concurrent calls, and so of connections, of a node.
 CONNECTIONS = 3
 
 
 class _StoreFixture:
-    """A store's stand-in and its client, whose connections can fall silent."""
+    """A fake store and its client, whose connections can be stalled."""
 
     def __init__(self) -> None:
         self.memory = MemoryStore()
@@ -46,12 +46,12 @@
         await self.store.close()
         await self._server.close()
 
-    def silence(self, part: slice = slice(None)) -> None:
-        """Let open connections fall silent."""
-        self.links.silence(["node"], part)
+    def silence(self, connections: slice = slice(None)) -> None:
+        """Stall open connections without closing them."""
+        self.links.silence(["node"], connections)
 
     async def use_connections(self) -> None:
-        """Leave as many idle connections as a node has that asks for all it needs at once."""
+        """Open as many connections as a node uses concurrently, and leave them idle."""
         await asyncio.gather(*(self.read() for _ in range(CONNECTIONS)))
 
     async def read(self) -> StoreRow | None | Unavailable:
@@ -81,7 +81,7 @@
 
 
 async def timed(call) -> tuple[object, float]:
-    """Return the result of a call, and how long it took."""
+    """Return the result of a call and its duration in seconds."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     return await call, loop.time() - started_at
@@ -141,14 +141,14 @@
 
 def test_wait_is_not_retried_if_the_store_answers_no_call():
     async def test(world):
-        asked = []
+        requests = []
 
-        async def hang(*question):
-            asked.append(question)
+        async def hang(*arguments):
+            requests.append(arguments)
             await asyncio.sleep(3600)
 
         world.memory.wait = hang
         assert isinstance(await world.wait(), Unavailable)
-        assert len(asked) == 1
+        assert len(requests) == 1
 
     run_store(test)
