--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -47,8 +47,8 @@
         "RESTORE",
         "nor is it taken for done where only its answer tells the era",
         STORE,
-        "is_restored = any(is_of_earlier_era(r, era) for r in expected_rows)",
-        "is_restored = False",
+        "was_restored = any(is_of_earlier_era(r, era) for r in expected_rows)",
+        "was_restored = False",
         PORTS,
     ),
     Breakage(
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -128,7 +128,7 @@
     def _lag_s(self, host: Upstream) -> float:
         return self._report_lag_s(host.service) + REPORT_LAG_MARGIN_S
 
-    # PendingFormation groups.
+    # Forming groups.
 
     async def join_all(
         self, model: str, members: list[Upstream], timeout_s: float
--- a/mulleinreach/gateway/model.py
+++ b/mulleinreach/gateway/model.py
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """RequestLimits on the sizes and timeouts of callers' requests."""
+    """Limits on the sizes and timeouts of callers' requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""DeploymentBounds over all nodes or a whole deployment: retries, deadlines and loads of weights."""
+"""Bounds over all nodes or a whole deployment: retries, deadlines and loads of weights."""
 
 from __future__ import annotations
 
--- a/mulleinreach/groups/repair.py
+++ b/mulleinreach/groups/repair.py
@@ -52,7 +52,7 @@
     parallel_loads: int
 
     def load_seconds(self, hosts: int, loading: int = 0) -> float:
-        """Return the time in load_seconds to load ``hosts`` hosts, queued behind ``loading`` others.
+        """Return the time in seconds to load ``hosts`` hosts, queued behind ``loading`` others.
 
         Examples
         ========
