--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -105,7 +105,7 @@
 
 
 class HallMonitor:
-    """Monitors all halls, and marks failed ones as failure in :class:`HostRegistry`.
+    """Monitors all halls, and marks failed ones as down in :class:`HostRegistry`.
 
     Parameters
     ==========
