--- a/benchmarks/control_traffic.py
+++ b/benchmarks/control_traffic.py
@@ -27,9 +27,9 @@
     Totals,
 )
 from mulleinreach.gateway.coordination.totals import FULL_TOTALS_INTERVAL_ROUNDS
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.reading import READER_WAIT_S
-from mulleinreach.gateway.known.upstreams import ListChange
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.store_reading import READER_WAIT_S
+from mulleinreach.gateway.state.upstreams import ListChange
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream
 
 PAGE = Path("docs/CAPACITY.md")
--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -6,8 +6,8 @@
 
 GATEWAY = "mulleinreach/gateway"
 CRASHING = f"{GATEWAY}/request/tests/test_crashing_requests.py"
-BOOK = f"{GATEWAY}/known/tests/test_crashes.py"
-WORK = f"{GATEWAY}/known/tests/test_crash_book_work.py"
+BOOK = f"{GATEWAY}/state/tests/test_crashes.py"
+WORK = f"{GATEWAY}/state/tests/test_crash_tracker_cost.py"
 
 CRASH_BREAKAGES = [
     Breakage(
@@ -77,7 +77,7 @@
     Breakage(
         "BUDGET",
         "a failing hall holds no sound request",
-        f"{GATEWAY}/known/crashes.py",
+        f"{GATEWAY}/state/crashes.py",
         "if not is_counted and not (shares_hall and self._ends.is_hall_failing(end, explained)):",
         "if not is_counted:",
         BOOK,
@@ -85,7 +85,7 @@
     Breakage(
         "BUDGET",
         "a request that was served begins anew",
-        f"{GATEWAY}/known/crashes.py",
+        f"{GATEWAY}/state/crashes.py",
         "ends = [seen for seen in known if seen.at > served_at]",
         "ends = [seen for seen in known if seen.outcome is not RunOutcome.SERVED]",
         BOOK,
@@ -93,7 +93,7 @@
     Breakage(
         "BUDGET",
         "ends after a part of the answer count too",
-        f"{GATEWAY}/known/crashes.py",
+        f"{GATEWAY}/state/crashes.py",
         "limits = (MIN_ENDS_AFTER_BEGIN, MIN_ENDS_BEFORE_OUTPUT, MIN_ENDS_ANY_OUTCOME)",
         'limits = (MIN_ENDS_AFTER_BEGIN, MIN_ENDS_BEFORE_OUTPUT, float("inf"))',
         f"{CRASHING} -k gives_events_before",
@@ -101,7 +101,7 @@
     Breakage(
         "BUDGET",
         "a beginning that all show tells nothing",
-        f"{GATEWAY}/known/crashes.py",
+        f"{GATEWAY}/state/crashes.py",
         "return self._ends.count_begun(end, MAX_BEGUN_REQUESTS + 1) <= MAX_BEGUN_REQUESTS",
         "return True",
         BOOK,
@@ -109,7 +109,7 @@
     Breakage(
         "BUDGET",
         "a doubled report counts once",
-        f"{GATEWAY}/known/crashes.py",
+        f"{GATEWAY}/state/crashes.py",
         "if observation.id in self._known_ids:",
         "if False:",
         BOOK,
@@ -117,7 +117,7 @@
     Breakage(
         "BUDGET",
         "a hold that is handed on ends when it would have",
-        f"{GATEWAY}/known/crashes.py",
+        f"{GATEWAY}/state/crashes.py",
         "until = dated_at + min(held.remaining_s, HOLD_S)",
         "until = dated_at + HOLD_S",
         WORK,
--- a/benchmarks/ends.py
+++ b/benchmarks/ends.py
@@ -10,8 +10,8 @@
 import time
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.crashes import CrashTracker, RunObservation
-from mulleinreach.gateway.known.upstream_ends import RunOutcome
+from mulleinreach.gateway.state.crashes import CrashTracker, RunObservation
+from mulleinreach.gateway.state.upstream_ends import RunOutcome
 
 UPSTREAMS = 100
 REQUESTS_EACH = 17
--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -99,7 +99,7 @@
     Breakage(
         "CONFIG",
         "versions only rise",
-        f"{GATEWAY}/known/following.py",
+        f"{GATEWAY}/state/configuration_follower.py",
         "if self.configuration is not None and configuration.version <= self.version:",
         "if False:",
         f"{GATEWAY}/request/tests/test_admission.py -k older",
@@ -107,10 +107,10 @@
     Breakage(
         "DRAIN",
         "late news alone keeps no upstream",
-        f"{GATEWAY}/known/upstream_following.py",
+        f"{GATEWAY}/state/upstream_follower.py",
         "if has_failed and self.list_age_s() > OUTAGE_S:",
         "if self.list_age_s() > OUTAGE_S:",
-        f"{GATEWAY}/known/tests/test_store_outage.py -k late_answer",
+        f"{GATEWAY}/state/tests/test_store_outage.py -k late_answer",
     ),
     Breakage(
         "TWO",
@@ -126,7 +126,7 @@
         f"{GATEWAY}/coordination/lease.py",
         "if record is None or Resignation(record.token, record.renewal) != resignation:",
         "if record is None:",
-        f"{GATEWAY}/known/tests/test_store_outage.py -k superseded",
+        f"{GATEWAY}/state/tests/test_store_outage.py -k superseded",
     ),
     Breakage(
         "TWO",
@@ -139,10 +139,10 @@
     Breakage(
         "TWO",
         "a report counts only if it is newer than what was heard",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "if known is None or as_of <= self._changed_at.get(report.id, NEVER):",
         "if known is None:",
-        f"{GATEWAY}/known/tests/test_reports.py",
+        f"{GATEWAY}/state/tests/test_reports.py",
     ),
     Breakage(
         "TWO",
@@ -158,7 +158,7 @@
         f"{GATEWAY}/fleet/hosts.py",
         "return self._clock.now() < self._grace_ends_at",
         "return False",
-        f"{GATEWAY}/known/tests/test_store_outage.py -k start_after",
+        f"{GATEWAY}/state/tests/test_store_outage.py -k start_after",
     ),
     Breakage(
         "CONFIG",
@@ -187,10 +187,10 @@
     Breakage(
         "CONFIG",
         "a renewal proves only the configuration that it named",
-        f"{GATEWAY}/known/following.py",
+        f"{GATEWAY}/state/configuration_follower.py",
         "if rows is not None and rows == self.operator_rows():",
         "if True:",
-        f"{GATEWAY}/known/tests/test_store_calls.py -k no_evidence",
+        f"{GATEWAY}/state/tests/test_store_calls.py -k no_evidence",
     ),
     Breakage(
         "CONFIG",
@@ -230,7 +230,7 @@
         f"{GATEWAY}/coordination/hub.py",
         "own_totals = replace(totals, keeps_removed=False)",
         "own_totals = totals",
-        f"{GATEWAY}/known/tests/test_store_outage.py -k still_missing",
+        f"{GATEWAY}/state/tests/test_store_outage.py -k still_missing",
     ),
     Breakage(
         "BUDGET",
--- a/benchmarks/notice_breakages.py
+++ b/benchmarks/notice_breakages.py
@@ -15,7 +15,7 @@
     Breakage(
         "BUDGET",
         "an upstream that rests gets no request",
-        f"{GATEWAY}/known/eligibility.py",
+        f"{GATEWAY}/state/eligibility.py",
         "if self._notices.is_resting(upstream.id):",
         "if False:",
         HEEDED,
@@ -23,7 +23,7 @@
     Breakage(
         "DRAIN",
         "an upstream's word that it leaves counts",
-        f"{GATEWAY}/known/notices.py",
+        f"{GATEWAY}/state/notices.py",
         "is_newly_leaving = notice.is_leaving and self._directory.mark_leaving(upstream.id)",
         "is_newly_leaving = notice.is_leaving",
         f"{HEEDED} -k leaves",
@@ -31,7 +31,7 @@
     Breakage(
         "DRAIN",
         "what a row says later doesn't refute it",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "for upstream in map(self._with_leaving_state, change.upstreams):",
         "for upstream in change.upstreams:",
         f"{HEEDED} -k lapses",
@@ -39,7 +39,7 @@
     Breakage(
         "DRAIN",
         "nor does a whole list",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "upstreams = [self._with_leaving_state(u) for u in upstreams]",
         "self._leaving = {}",
         f"{APART} -k refute",
@@ -88,7 +88,7 @@
     Breakage(
         "BUDGET",
         "a shorter rest ends no longer one",
-        f"{GATEWAY}/known/notices.py",
+        f"{GATEWAY}/state/notices.py",
         "upstream_id: max(requested, earlier, key=lambda rest: rest.until)",
         "upstream_id: requested",
         f"{APART} -k shorter",
@@ -104,7 +104,7 @@
     Breakage(
         "LIMIT",
         "an upstream with a limit is sent to for a permit only",
-        f"{GATEWAY}/known/eligibility.py",
+        f"{GATEWAY}/state/eligibility.py",
         "return [u for u in permitted if self._permits.may_send(u.id)]",
         "return permitted",
         f"{LIMITS} -k head_gets",
@@ -112,7 +112,7 @@
     Breakage(
         "LIMIT",
         "a permit is spent once",
-        f"{GATEWAY}/known/permits.py",
+        f"{GATEWAY}/state/permits.py",
         "self._held[upstream_id].expiries.popleft()",
         "pass",
         f"{ALLOCATION} -k used_and_kept",
@@ -136,7 +136,7 @@
     Breakage(
         "LIMIT",
         "permits are dated from the report that they answer",
-        f"{GATEWAY}/known/permits.py",
+        f"{GATEWAY}/state/permits.py",
         "held.expiries.extend([asked_at + permit_lifetime_s(limit)] * permits.count)",
         "held.expiries.extend([self._clock.now() + permit_lifetime_s(limit)] * permits.count)",
         f"{ALLOCATION} -k dates",
@@ -152,7 +152,7 @@
     Breakage(
         "LIMIT",
         "a node that is told of no coordinator sends little",
-        f"{GATEWAY}/known/permits.py",
+        f"{GATEWAY}/state/permits.py",
         "return max(1, self._nodes) / (ISOLATED_SHARE_OF_LIMIT * per_s)",
         "return 1 / per_s",
         ALLOCATION,
@@ -168,7 +168,7 @@
     Breakage(
         "LIMIT",
         "an earlier word that comes late changes nothing",
-        f"{GATEWAY}/known/limits.py",
+        f"{GATEWAY}/state/limits.py",
         "if before is not None and before.at >= observed_limit.at:",
         "if False:",
         f"{LIMITS_APART} -k late",
@@ -176,7 +176,7 @@
     Breakage(
         "LIMIT",
         "a limit that has sunk ends earlier permits",
-        f"{GATEWAY}/known/permits.py",
+        f"{GATEWAY}/state/permits.py",
         "if self.limits.limit_per_s(upstream_id) < held.limit_per_s:",
         "if False:",
         f"{ALLOCATION} -k sinks",
@@ -184,7 +184,7 @@
     Breakage(
         "LIMIT",
         "a request that only limits keep away waits for a permit",
-        f"{GATEWAY}/known/choosing.py",
+        f"{GATEWAY}/state/selection.py",
         "await self._permits.wait(preferred.id)",
         "pass",
         f"{LIMITS} -k few_callers",
@@ -192,7 +192,7 @@
     Breakage(
         "LIMIT",
         "nobody waits while permits are known to be short",
-        f"{GATEWAY}/known/choosing.py",
+        f"{GATEWAY}/state/selection.py",
         "if self._permits.are_unavailable(preferred.id):",
         "if False:",
         f"{LIMITS} -k refuses_at_once",
--- a/benchmarks/restore_breakages.py
+++ b/benchmarks/restore_breakages.py
@@ -7,7 +7,7 @@
 GATEWAY = "mulleinreach/gateway"
 STORE = "mulleinreach/platform/store.py"
 PORTS = "mulleinreach/platform/tests/test_restored_ports.py"
-RESTORED = f"{GATEWAY}/known/tests/test_restored_store.py"
+RESTORED = f"{GATEWAY}/state/tests/test_restored_store.py"
 LEASE = f"{GATEWAY}/coordination/tests/test_restored_lease.py"
 
 RESTORE_BREAKAGES = [
@@ -62,7 +62,7 @@
     Breakage(
         "RESTORE",
         "what is known stands against a copy",
-        f"{GATEWAY}/known/upstream_following.py",
+        f"{GATEWAY}/state/upstream_follower.py",
         "return self._directory.reconcile(upstreams) if self._was_untrusted else upstreams",
         "return upstreams",
         RESTORED,
@@ -70,7 +70,7 @@
     Breakage(
         "RESTORE",
         "a list that was doubted is read once more",
-        f"{GATEWAY}/known/upstream_following.py",
+        f"{GATEWAY}/state/upstream_follower.py",
         "return self._was_untrusted and self._clock.now() >= self._untrusted_until",
         "return False",
         f"{RESTORED} -k used_again",
@@ -78,7 +78,7 @@
     Breakage(
         "RESTORE",
         "upstreams that a copy lacks are kept for a while",
-        f"{GATEWAY}/known/upstream_following.py",
+        f"{GATEWAY}/state/upstream_follower.py",
         "self._keeps_removed_until = max(self._keeps_removed_until, now + RELISTING_GRACE_S)",
         "pass",
         f"{RESTORED} -k short_outage",
@@ -86,7 +86,7 @@
     Breakage(
         "RESTORE",
         "an upstream that has gone is not brought back by a copy",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "if before is not None or listed.id not in self._departed",
         "if True",
         f"{RESTORED} -k removed_upstream_gets",
@@ -94,7 +94,7 @@
     Breakage(
         "RESTORE",
         "a row's word that its upstream leaves outlives it",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "if upstream.state is UpstreamState.DRAINING:",
         "if False:",
         f"{RESTORED} -k drain_outlasts",
@@ -102,7 +102,7 @@
     Breakage(
         "RESTORE",
         "a word that an upstream leaves is taken from a doubted list",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "if listed.id == known.id and listed.state is UpstreamState.DRAINING:",
         "if False:",
         f"{RESTORED} -k before_any_node",
@@ -110,7 +110,7 @@
     Breakage(
         "RESTORE",
         "evacuations that a copy lacks hold for a while",
-        f"{GATEWAY}/known/evacuations.py",
+        f"{GATEWAY}/state/evacuations.py",
         "if era_of(revision) > era_of(self.revision):",
         "if False:",
         f"{RESTORED} -k evacuation",
@@ -118,7 +118,7 @@
     Breakage(
         "RESTORE",
         "and end if nobody writes them again",
-        f"{GATEWAY}/known/evacuations.py",
+        f"{GATEWAY}/state/evacuations.py",
         "if until is not None and self._clock.now() >= until:",
         "if False:",
         f"{RESTORED} -k evacuation",
@@ -126,7 +126,7 @@
     Breakage(
         "RESTORE",
         "a coordinator's own word confirms none",
-        f"{GATEWAY}/known/evacuations.py",
+        f"{GATEWAY}/state/evacuations.py",
         "is_newer = revision > self.revision",
         "is_newer = True",
         f"{RESTORED} -k another_row",
@@ -134,7 +134,7 @@
     Breakage(
         "RESTORE",
         "an older configuration proves nothing",
-        f"{GATEWAY}/known/following.py",
+        f"{GATEWAY}/state/configuration_follower.py",
         "self._is_store_outdated = result.configuration.version < self.version",
         "self._is_store_outdated = False",
         f"{RESTORED} -k no_evidence",
--- a/benchmarks/start_breakages.py
+++ b/benchmarks/start_breakages.py
@@ -5,7 +5,7 @@
 from benchmarks.breakage import Breakage
 
 GATEWAY = "mulleinreach/gateway"
-STARTS = f"{GATEWAY}/known/tests/test_starts.py"
+STARTS = f"{GATEWAY}/state/tests/test_starts.py"
 HOSTS = f"{GATEWAY}/fleet/tests/test_starts_again.py"
 ROWS = "mulleinreach/platform/tests/test_rows.py"
 
@@ -13,7 +13,7 @@
     Breakage(
         "START",
         "requests at an earlier start end at once",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "self._on_replaced(before)",
         "pass",
         f"{HOSTS} -k list_alone",
@@ -21,7 +21,7 @@
     Breakage(
         "START",
         "a later start drops an earlier one",
-        f"{GATEWAY}/known/upstreams.py",
+        f"{GATEWAY}/state/upstreams.py",
         "if before is not None and before != upstream_id:",
         "if False:",
         STARTS,
--- a/mulleinreach/gateway/coordination/election.py
+++ b/mulleinreach/gateway/coordination/election.py
@@ -8,7 +8,7 @@
 import random
 
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.turns import AMPLE_CORES
+from mulleinreach.gateway.state.read_schedule import AMPLE_CORES
 
 # Spreads the writes of nodes that find the lease free at the same time.
 MAX_ELECTION_JITTER_S = 0.06
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -29,7 +29,7 @@
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, NodeReport
 from mulleinreach.gateway.coordination.totals import TotalsCompactor, sum_loads
-from mulleinreach.gateway.known.permits import PermitCount
+from mulleinreach.gateway.state.permits import PermitCount
 
 REPORT_INTERVAL_S = 0.1
 # Limits the coordinator's processor time in large deployments.
--- a/mulleinreach/gateway/coordination/lease_document.py
+++ b/mulleinreach/gateway/coordination/lease_document.py
@@ -4,10 +4,10 @@
 
 from absl import logging
 
-from mulleinreach.gateway.known.content import format_digest, parse_digest
-from mulleinreach.gateway.known.crashes import held_contents
 from mulleinreach.gateway.model import CallerTimeout, HandoverState, HeldContent
 from mulleinreach.gateway.ports import LeaseRecord
+from mulleinreach.gateway.state.content import format_digest, parse_digest
+from mulleinreach.gateway.state.crashes import held_contents
 
 
 def encode_record(record: LeaseRecord) -> dict[str, object]:
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -28,8 +28,8 @@
 from mulleinreach.gateway.coordination.succession import notify_replaced
 from mulleinreach.gateway.coordination.term import CoordinatorTerm
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import LeaseRecord
+from mulleinreach.gateway.state.load import LoadTracker
 
 RETRY_S = 0.3
 RECONNECT_S = 0.05
--- a/mulleinreach/gateway/coordination/messages.py
+++ b/mulleinreach/gateway/coordination/messages.py
@@ -15,13 +15,13 @@
     OpenHead,
     Totals,
 )
-from mulleinreach.gateway.known.crashes import RunObservation, held_contents
-from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.known.upstream_ends import RunOutcome
-from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.model import HeldContent
+from mulleinreach.gateway.state.crashes import RunObservation, held_contents
+from mulleinreach.gateway.state.limits import NamedLimit
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.permits import PermitCount
+from mulleinreach.gateway.state.upstream_ends import RunOutcome
+from mulleinreach.gateway.state.upstreams import ListChange
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream, UpstreamState
 
 MAX_UINT16 = 65_535
--- a/mulleinreach/gateway/coordination/numbering.py
+++ b/mulleinreach/gateway/coordination/numbering.py
@@ -5,7 +5,7 @@
 import itertools
 from collections.abc import Collection, Hashable
 
-from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S
+from mulleinreach.gateway.state.cold import NUMBER_VALID_S, RATE_WINDOW_S
 
 # By then previous numbers have expired, with requests sent under them; 0.1 s is for clock skew.
 RENUMBERING_INTERVAL_S = NUMBER_VALID_S + RATE_WINDOW_S + 0.1
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/own_report.py
@@ -12,7 +12,7 @@
     NodeReport,
 )
 from mulleinreach.gateway.deployment import GatewayIdentity
-from mulleinreach.gateway.known.load import LoadReport, LoadTracker
+from mulleinreach.gateway.state.load import LoadReport, LoadTracker
 
 # For this time a new coordinator gets all observations and limits, not only new ones.
 FULL_REPORT_PERIOD_S = 1.0
--- a/mulleinreach/gateway/coordination/passed_on.py
+++ b/mulleinreach/gateway/coordination/passed_on.py
@@ -5,13 +5,13 @@
 from typing import Protocol
 
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, Totals
-from mulleinreach.gateway.known.crashes import RunObservation
-from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
+from mulleinreach.gateway.state.crashes import RunObservation
+from mulleinreach.gateway.state.limits import NamedLimit
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.permits import PermitCount
+from mulleinreach.gateway.state.upstreams import ListChange
 
 
 class Knowledge(Protocol):
--- a/mulleinreach/gateway/coordination/permit_allocation.py
+++ b/mulleinreach/gateway/coordination/permit_allocation.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from mulleinreach.gateway.known.limits import permit_lifetime_s, send_rate_per_s
-from mulleinreach.gateway.known.permits import PermitCount
+from mulleinreach.gateway.state.limits import permit_lifetime_s, send_rate_per_s
+from mulleinreach.gateway.state.permits import PermitCount
 
 # Capacity of a token bucket; enough for the permits that accrue between two reports.
 BURST_PERMITS = 2.0
--- a/mulleinreach/gateway/coordination/reports.py
+++ b/mulleinreach/gateway/coordination/reports.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass, field
 
 from mulleinreach.gateway.coordination.lease import Resignation, Successor
-from mulleinreach.gateway.known.crashes import RunObservation
-from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.permits import PermitCount
-from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.model import HeldContent
+from mulleinreach.gateway.state.crashes import RunObservation
+from mulleinreach.gateway.state.limits import NamedLimit
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.permits import PermitCount
+from mulleinreach.gateway.state.upstreams import ListChange
 
 
 @dataclass(frozen=True)
--- a/mulleinreach/gateway/coordination/tests/limit_desk.py
+++ b/mulleinreach/gateway/coordination/tests/limit_desk.py
@@ -6,10 +6,10 @@
 from contextlib import AbstractContextManager
 
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
-from mulleinreach.gateway.known.limits import LimitTracker
-from mulleinreach.gateway.known.permits import SendPermits
-from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
+from mulleinreach.gateway.state.limits import LimitTracker
+from mulleinreach.gateway.state.permits import SendPermits
+from mulleinreach.gateway.state.tests.test_crashes import ManualClock, NullLog
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.standins.gateway.hosts import make_upstream
 
 UPSTREAM = make_upstream("u", "desk", 1, None)
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -10,8 +10,8 @@
 
 from mulleinreach.gateway.coordination.permit_allocation import BURST_PERMITS, PermitAllocator
 from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, LimitHarness
-from mulleinreach.gateway.known.limits import NamedLimit, permit_lifetime_s
-from mulleinreach.gateway.known.permits import PermitCount
+from mulleinreach.gateway.state.limits import NamedLimit, permit_lifetime_s
+from mulleinreach.gateway.state.permits import PermitCount
 from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
 
 ROUND_S = 0.1
--- a/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
+++ b/mulleinreach/gateway/coordination/tests/test_spoilt_messages.py
@@ -20,11 +20,11 @@
     NodeReport,
     Totals,
 )
-from mulleinreach.gateway.known.crashes import RunObservation
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.upstream_ends import RunOutcome
-from mulleinreach.gateway.known.upstreams import ListChange
 from mulleinreach.gateway.model import HeldContent
+from mulleinreach.gateway.state.crashes import RunObservation
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.upstream_ends import RunOutcome
+from mulleinreach.gateway.state.upstreams import ListChange
 from mulleinreach.gateway.upstream import Membership, MemberState, Upstream
 
 SEEN = RunObservation(3, 4, "u", "hall", RunOutcome.ENDED, 0.5)
--- a/mulleinreach/gateway/coordination/totals.py
+++ b/mulleinreach/gateway/coordination/totals.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from mulleinreach.gateway.coordination.reports import NodeReport, Totals
-from mulleinreach.gateway.known.load import LoadReport
+from mulleinreach.gateway.state.load import LoadReport
 
 # Unchanged values are sent again in every such round, for nodes that have joined since.
 FULL_TOTALS_INTERVAL_ROUNDS = 10
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -25,10 +25,10 @@
 from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.placement import Placement
 from mulleinreach.gateway.fleet.watch import GroupMonitor
-from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.upstreams import Head, collect_groups, open_heads
 from mulleinreach.gateway.model import Service
+from mulleinreach.gateway.state.configuration_follower import ConfigurationInForce
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.upstreams import Head, collect_groups, open_heads
 
 MAX_PASS_INTERVAL_S = 0.1
 MIN_PASS_INTERVAL_S = 0.03
--- a/mulleinreach/gateway/fleet/formation.py
+++ b/mulleinreach/gateway/fleet/formation.py
@@ -18,7 +18,6 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import (
     Accepted,
@@ -29,6 +28,7 @@
     Rejected,
     Unavailable,
 )
+from mulleinreach.gateway.state.upstreams import Group
 from mulleinreach.gateway.upstream import MemberState, Upstream, group_name
 
 EPOCHS_PER_TOKEN = 1_000_000
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/halls.py
@@ -23,9 +23,9 @@
 from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.upstreams import Head
 from mulleinreach.gateway.ports import Unavailable
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.upstreams import Head
 from mulleinreach.gateway.upstream import Upstream
 
 STALLED_HEAD_S = 0.3
--- a/mulleinreach/gateway/fleet/hosts.py
+++ b/mulleinreach/gateway/fleet/hosts.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, replace
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.upstream_following import RELISTING_GRACE_S
-from mulleinreach.gateway.known.upstreams import Group, UpstreamDirectory
+from mulleinreach.gateway.state.upstream_follower import RELISTING_GRACE_S
+from mulleinreach.gateway.state.upstreams import Group, UpstreamDirectory
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState, model_of_group
 
 LOST_RETENTION_S = 30.0
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -22,8 +22,8 @@
     HostRebalancer,
 )
 from mulleinreach.gateway.fleet.planner import DomainView, FreeHost, ServingGroup
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL
 from mulleinreach.standins.virtual import run_virtual
--- a/mulleinreach/gateway/fleet/tests/test_fleet.py
+++ b/mulleinreach/gateway/fleet/tests/test_fleet.py
@@ -11,8 +11,8 @@
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.upstreams import Group
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.upstreams import Group
 from mulleinreach.gateway.tests.support import request_streams_forever, run_world
 from mulleinreach.standins.gateway.hosts import HostTimes
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, SMALL, GatewayWorld
--- a/mulleinreach/gateway/fleet/tests/test_stale_groups.py
+++ b/mulleinreach/gateway/fleet/tests/test_stale_groups.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 from mulleinreach.gateway.fleet.formation import JoinOutcome
-from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.ports import Accepted
+from mulleinreach.gateway.state.upstreams import Group
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import Membership, MemberState
 from mulleinreach.standins.gateway.store import UPSTREAMS
--- a/mulleinreach/gateway/fleet/tests/test_starts_again.py
+++ b/mulleinreach/gateway/fleet/tests/test_starts_again.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinreach.gateway.known.upstreams import ListChange
+from mulleinreach.gateway.state.upstreams import ListChange
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import incarnation_id, upstream_name
 from mulleinreach.standins.gateway.world import LARGE, SMALL
--- a/mulleinreach/gateway/fleet/watch.py
+++ b/mulleinreach/gateway/fleet/watch.py
@@ -16,10 +16,10 @@
     is_standby,
 )
 from mulleinreach.gateway.fleet.placement import Placement
-from mulleinreach.gateway.known.load import LoadReport
-from mulleinreach.gateway.known.upstreams import Group
 from mulleinreach.gateway.model import EngineModel, EngineProfile
 from mulleinreach.gateway.ports import Unavailable
+from mulleinreach.gateway.state.load import LoadReport
+from mulleinreach.gateway.state.upstreams import Group
 from mulleinreach.gateway.upstream import MemberState, Upstream, UpstreamState
 
 SUSPECT_STALL_S = 0.3
--- a/mulleinreach/gateway/knowledge.py
+++ b/mulleinreach/gateway/knowledge.py
@@ -19,19 +19,19 @@
     Totals,
 )
 from mulleinreach.gateway.fleet.controller import FleetController
-from mulleinreach.gateway.known.choosing import UpstreamChooser
-from mulleinreach.gateway.known.cold import ColdRateLimit
-from mulleinreach.gateway.known.crashes import CrashTracker, RunObservation
-from mulleinreach.gateway.known.eligibility import Eligibility
-from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.limits import NamedLimit
-from mulleinreach.gateway.known.load import LoadReport, LoadTracker
-from mulleinreach.gateway.known.permits import PermitCount, SendPermits
-from mulleinreach.gateway.known.upstream_following import UpstreamFollower
-from mulleinreach.gateway.known.upstreams import Head, ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import HandoverState
 from mulleinreach.gateway.ports import OperatorRows
 from mulleinreach.gateway.request.urgency import FirstWaitEstimator
+from mulleinreach.gateway.state.cold import ColdRateLimit
+from mulleinreach.gateway.state.configuration_follower import ConfigurationInForce
+from mulleinreach.gateway.state.crashes import CrashTracker, RunObservation
+from mulleinreach.gateway.state.eligibility import Eligibility
+from mulleinreach.gateway.state.limits import NamedLimit
+from mulleinreach.gateway.state.load import LoadReport, LoadTracker
+from mulleinreach.gateway.state.permits import PermitCount, SendPermits
+from mulleinreach.gateway.state.selection import UpstreamChooser
+from mulleinreach.gateway.state.upstream_follower import UpstreamFollower
+from mulleinreach.gateway.state.upstreams import Head, ListChange, UpstreamDirectory
 
 # Keeps the evidence at other nodes below their limit of 1.5 s until the next renewal.
 MAX_UNCONFIRMED_S = 0.7
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -21,24 +21,6 @@
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.knowledge import SharedState
-from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
-from mulleinreach.gateway.known.cold import ColdRateLimit, ColdUpstreams
-from mulleinreach.gateway.known.content import format_digest
-from mulleinreach.gateway.known.counted import CountedEventLog, CountedLease, CountedSource
-from mulleinreach.gateway.known.crashes import CrashTracker
-from mulleinreach.gateway.known.eligibility import Eligibility
-from mulleinreach.gateway.known.evacuations import Evacuations
-from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.limits import LimitTracker
-from mulleinreach.gateway.known.load import LoadTracker
-from mulleinreach.gateway.known.notices import NoticeTracker
-from mulleinreach.gateway.known.permits import SendPermits
-from mulleinreach.gateway.known.routing import Router
-from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
-from mulleinreach.gateway.known.turns import direct_read_schedule
-from mulleinreach.gateway.known.upstream_following import UpstreamFollower
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
-from mulleinreach.gateway.known.waking import SuspensionMonitor
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RequestLimits
@@ -53,6 +35,24 @@
 from mulleinreach.gateway.request.sending import Sender
 from mulleinreach.gateway.request.starting import StartGate
 from mulleinreach.gateway.request.urgency import FirstWaitEstimator
+from mulleinreach.gateway.state.cold import ColdRateLimit, ColdUpstreams
+from mulleinreach.gateway.state.configuration_follower import ConfigurationInForce
+from mulleinreach.gateway.state.content import format_digest
+from mulleinreach.gateway.state.crashes import CrashTracker
+from mulleinreach.gateway.state.eligibility import Eligibility
+from mulleinreach.gateway.state.evacuations import Evacuations
+from mulleinreach.gateway.state.instrumented import CountedEventLog, CountedLease, CountedSource
+from mulleinreach.gateway.state.limits import LimitTracker
+from mulleinreach.gateway.state.load import LoadTracker
+from mulleinreach.gateway.state.notices import NoticeTracker
+from mulleinreach.gateway.state.permits import SendPermits
+from mulleinreach.gateway.state.read_schedule import direct_read_schedule
+from mulleinreach.gateway.state.routing import Router
+from mulleinreach.gateway.state.selection import SuspectList, UpstreamChooser
+from mulleinreach.gateway.state.store_calls import StoreCalls, StoreRole, pause_s
+from mulleinreach.gateway.state.suspension import SuspensionMonitor
+from mulleinreach.gateway.state.upstream_follower import UpstreamFollower
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.upstream import Notice, Upstream
 
 CONNECT_TIMEOUT_S = 0.35
--- a/mulleinreach/gateway/request/admission.py
+++ b/mulleinreach/gateway/request/admission.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.known.following import ConfigurationInForce
-from mulleinreach.gateway.known.reading import FOLLOWER_WAIT_S, MAX_EVIDENCE_AGE_S
 from mulleinreach.gateway.model import Configuration, Route
 from mulleinreach.gateway.ports import CallerHeaders
+from mulleinreach.gateway.state.configuration_follower import ConfigurationInForce
+from mulleinreach.gateway.state.store_reading import FOLLOWER_WAIT_S, MAX_EVIDENCE_AGE_S
 
 # Not exceeded in normal operation; beyond this age, a new route or key may be missing.
 MAX_CURRENT_EVIDENCE_AGE_S = MAX_EVIDENCE_AGE_S + 2 * FOLLOWER_WAIT_S + 0.2
--- a/mulleinreach/gateway/request/job.py
+++ b/mulleinreach/gateway/request/job.py
@@ -7,11 +7,11 @@
 from aiohttp import web
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from mulleinreach.gateway.known.eligibility import RequestConstraints
 from mulleinreach.gateway.model import Service
 from mulleinreach.gateway.ports import CallerHeaders
 from mulleinreach.gateway.request.admission import Admitted
 from mulleinreach.gateway.request.exchange import Answered
+from mulleinreach.gateway.state.eligibility import RequestConstraints
 
 _HOP_HEADERS = frozenset(
     name.casefold()
--- a/mulleinreach/gateway/request/late.py
+++ b/mulleinreach/gateway/request/late.py
@@ -15,10 +15,10 @@
 import random
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.choosing import UpstreamChooser
-from mulleinreach.gateway.known.eligibility import RequestConstraints
-from mulleinreach.gateway.known.load import LoadTracker
 from mulleinreach.gateway.ports import CallerHeaders
+from mulleinreach.gateway.state.eligibility import RequestConstraints
+from mulleinreach.gateway.state.load import LoadTracker
+from mulleinreach.gateway.state.selection import UpstreamChooser
 
 # Longest wait of a late request: in seconds, and as a fraction of the caller's remaining time.
 MAX_WAIT_S = 1.0
--- a/mulleinreach/gateway/request/relay.py
+++ b/mulleinreach/gateway/request/relay.py
@@ -9,9 +9,6 @@
 from aiohttp import web
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.content import content_digest, format_digest
-from mulleinreach.gateway.known.load import InFlightRequest
-from mulleinreach.gateway.known.upstream_ends import RunOutcome
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RouteKind, Service
 from mulleinreach.gateway.ports import CallerHeaders, Dialect
@@ -32,6 +29,9 @@
 from mulleinreach.gateway.request.sending import MIN_REMAINING_S, Sender
 from mulleinreach.gateway.request.starting import StartGate
 from mulleinreach.gateway.request.urgency import FirstWaitEstimator
+from mulleinreach.gateway.state.content import content_digest, format_digest
+from mulleinreach.gateway.state.load import InFlightRequest
+from mulleinreach.gateway.state.upstream_ends import RunOutcome
 
 # A stream without a byte for this time is resumed at another upstream, before callers give up.
 PAUSE_LIMIT_S = 1.5
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -6,13 +6,6 @@
 from http import HTTPStatus
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.choosing import SuspectList, UpstreamChooser
-from mulleinreach.gateway.known.content import format_digest
-from mulleinreach.gateway.known.crashes import CrashTracker
-from mulleinreach.gateway.known.eligibility import Exclusion
-from mulleinreach.gateway.known.load import InFlightRequest, LoadTracker
-from mulleinreach.gateway.known.notices import Rest
-from mulleinreach.gateway.known.upstream_ends import RunOutcome
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RouteKind
 from mulleinreach.gateway.ports import Dialect
@@ -34,6 +27,13 @@
     engine_priority,
     would_miss_objective,
 )
+from mulleinreach.gateway.state.content import format_digest
+from mulleinreach.gateway.state.crashes import CrashTracker
+from mulleinreach.gateway.state.eligibility import Exclusion
+from mulleinreach.gateway.state.load import InFlightRequest, LoadTracker
+from mulleinreach.gateway.state.notices import Rest
+from mulleinreach.gateway.state.selection import SuspectList, UpstreamChooser
+from mulleinreach.gateway.state.upstream_ends import RunOutcome
 from mulleinreach.gateway.upstream import Upstream
 
 MIN_REMAINING_S = 0.005
--- a/mulleinreach/gateway/request/tests/test_crowded_heads.py
+++ b/mulleinreach/gateway/request/tests/test_crowded_heads.py
@@ -8,9 +8,9 @@
 import asyncio
 
 from mulleinreach.common import VirtualClock
-from mulleinreach.gateway.known.load import LoadReport, LoadTracker
-from mulleinreach.gateway.known.routing import QUEUED_PENALTY_MS
 from mulleinreach.gateway.request.urgency import HIGHEST_PRIORITY, LATE_PRIORITY, MAX_QUEUE_FRACTION
+from mulleinreach.gateway.state.load import LoadReport, LoadTracker
+from mulleinreach.gateway.state.routing import QUEUED_PENALTY_MS
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, PROFILE, make_configuration
 from mulleinreach.standins.virtual import run_virtual
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -7,14 +7,14 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.known.limits import (
+from mulleinreach.gateway.state.limits import (
     ENDED_LIMIT_KEPT_S,
     UNLISTED_LIMIT_KEPT_S,
     LimitTracker,
     NamedLimit,
 )
-from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
+from mulleinreach.gateway.state.tests.test_crashes import ManualClock, NullLog
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.limited import (
     SYSTEM_PROPAGATION_S,
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -7,9 +7,9 @@
 import pytest
 from aiohttp import web
 
-from mulleinreach.gateway.known.notices import NoticeTracker
-from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog
-from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
+from mulleinreach.gateway.state.notices import NoticeTracker
+from mulleinreach.gateway.state.tests.test_crashes import ManualClock, NullLog
+from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.noticed import (
--- a/mulleinreach/gateway/request/tests/test_upstream_notices.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_notices.py
@@ -11,7 +11,7 @@
 import pytest
 from aiohttp import web
 
-from mulleinreach.gateway.known.upstreams import Group
+from mulleinreach.gateway.state.upstreams import Group
 from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, fail, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.noticed import (
--- a/mulleinreach/gateway/known/cold.py
+++ b/mulleinreach/gateway/state/cold.py
@@ -16,9 +16,9 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.known.evacuations import Evacuations
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import Service
+from mulleinreach.gateway.state.evacuations import Evacuations
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.upstream import Upstream
 
 # Rates are in requests per second, so requests are counted over one second.
--- a/mulleinreach/gateway/known/following.py
+++ b/mulleinreach/gateway/state/configuration_follower.py
@@ -15,14 +15,6 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.evacuations import Evacuations
-from mulleinreach.gateway.known.reading import (
-    CHECK_INTERVAL_S,
-    DirectReadSchedule,
-    SourceState,
-    wait_for,
-    wait_for_coordinator,
-)
 from mulleinreach.gateway.model import Configuration
 from mulleinreach.gateway.ports import (
     ConfigurationRead,
@@ -31,6 +23,14 @@
     OperatorRows,
 )
 from mulleinreach.gateway.revision import format_revision
+from mulleinreach.gateway.state.evacuations import Evacuations
+from mulleinreach.gateway.state.store_reading import (
+    CHECK_INTERVAL_S,
+    DirectReadSchedule,
+    SourceState,
+    wait_for,
+    wait_for_coordinator,
+)
 
 STALE_ANSWER_PAUSE_S = 0.15
 NEVER = float("-inf")
--- a/mulleinreach/gateway/known/crashes.py
+++ b/mulleinreach/gateway/state/crashes.py
@@ -17,15 +17,15 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.content import format_digest
-from mulleinreach.gateway.known.upstream_ends import (
+from mulleinreach.gateway.model import HeldContent
+from mulleinreach.gateway.state.content import format_digest
+from mulleinreach.gateway.state.upstream_ends import (
     MAX_TRACKED_ENDS,
     OBSERVATION_RETENTION_S,
     ObservedRun,
     RunOutcome,
     UpstreamEnds,
 )
-from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Upstream
 
 # Ends after the request began and before any output, a state that other requests are rarely in.
--- a/mulleinreach/gateway/known/eligibility.py
+++ b/mulleinreach/gateway/state/eligibility.py
@@ -8,12 +8,12 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from mulleinreach.gateway.known.cold import ColdUpstreams
-from mulleinreach.gateway.known.evacuations import Evacuations
-from mulleinreach.gateway.known.notices import NoticeTracker, Rest
-from mulleinreach.gateway.known.permits import SendPermits
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import Service
+from mulleinreach.gateway.state.cold import ColdUpstreams
+from mulleinreach.gateway.state.evacuations import Evacuations
+from mulleinreach.gateway.state.notices import NoticeTracker, Rest
+from mulleinreach.gateway.state.permits import SendPermits
 from mulleinreach.gateway.upstream import Upstream, UpstreamState
 
 
--- a/mulleinreach/gateway/known/counted.py
+++ b/mulleinreach/gateway/state/instrumented.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from mulleinreach.common import Clock, RateLimitedEventLog
-from mulleinreach.gateway.known.store_calls import StoreCalls
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import LeaseRecord, LeaseStore, OperatorRows
+from mulleinreach.gateway.state.store_calls import StoreCalls
 
 
 class CountedSource:
--- a/mulleinreach/gateway/known/limits.py
+++ b/mulleinreach/gateway/state/limits.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 
 # Longer than a node goes without a coordinator, so that all nodes learn that the limit ended.
 ENDED_LIMIT_KEPT_S = 5.0
--- a/mulleinreach/gateway/known/told_changes.py
+++ b/mulleinreach/gateway/state/list_change_log.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from mulleinreach.common import EventLog
-from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.revision import format_revision
+from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.upstream import Upstream, upstream_name
 
 # Keeps lines short when a whole hall is added or removed.
--- a/mulleinreach/gateway/known/notices.py
+++ b/mulleinreach/gateway/state/notices.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.upstream import Notice, Upstream
 
 
--- a/mulleinreach/gateway/known/permit_demand.py
+++ b/mulleinreach/gateway/state/permit_demand.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.limits import LimitTracker, permit_lifetime_s
+from mulleinreach.gateway.state.limits import LimitTracker, permit_lifetime_s
 
 # Requests to an upstream are counted over this window.
 DEMAND_WINDOW_S = 4.0
--- a/mulleinreach/gateway/known/permits.py
+++ b/mulleinreach/gateway/state/permits.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.limits import LimitTracker, permit_lifetime_s, send_rate_per_s
-from mulleinreach.gateway.known.notices import Rest
-from mulleinreach.gateway.known.permit_demand import PermitDemand
+from mulleinreach.gateway.state.limits import LimitTracker, permit_lifetime_s, send_rate_per_s
+from mulleinreach.gateway.state.notices import Rest
+from mulleinreach.gateway.state.permit_demand import PermitDemand
 
 # A node without a coordinator's report for this long is isolated.
 ISOLATED_AFTER_S = 1.0
--- a/mulleinreach/gateway/known/turns.py
+++ b/mulleinreach/gateway/state/read_schedule.py
@@ -5,7 +5,7 @@
 import random
 
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.known.reading import DirectReadSchedule
+from mulleinreach.gateway.state.store_reading import DirectReadSchedule
 
 # From the coordinator's last answer to the end of a direct read, with a retry but no extra wait.
 MAX_DIRECT_READ_DELAY_S = 2.5
--- a/mulleinreach/gateway/known/choosing.py
+++ b/mulleinreach/gateway/state/selection.py
@@ -6,19 +6,19 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock
-from mulleinreach.gateway.known.cold import ColdUpstreams
-from mulleinreach.gateway.known.eligibility import Eligibility, Exclusion, RequestConstraints
-from mulleinreach.gateway.known.notices import Rest
-from mulleinreach.gateway.known.permits import SendPermits
-from mulleinreach.gateway.known.routing import Router
-from mulleinreach.gateway.known.upstreams import (
+from mulleinreach.gateway.model import Service
+from mulleinreach.gateway.ports import CallerHeaders
+from mulleinreach.gateway.state.cold import ColdUpstreams
+from mulleinreach.gateway.state.eligibility import Eligibility, Exclusion, RequestConstraints
+from mulleinreach.gateway.state.notices import Rest
+from mulleinreach.gateway.state.permits import SendPermits
+from mulleinreach.gateway.state.routing import Router
+from mulleinreach.gateway.state.upstreams import (
     Head,
     UpstreamDirectory,
     open_heads,
     serves_model,
 )
-from mulleinreach.gateway.model import Service
-from mulleinreach.gateway.ports import CallerHeaders
 from mulleinreach.gateway.upstream import Upstream
 
 # Enough to check the members of the upstream's group and to form a new group.
--- a/mulleinreach/gateway/known/tests/test_cold.py
+++ b/mulleinreach/gateway/state/tests/test_cold.py
@@ -14,10 +14,10 @@
 from mulleinreach.common import Address, Clock, EventLog
 from mulleinreach.gateway.coordination.numbering import NodeNumbers
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.known.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
-from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.model import Configuration
 from mulleinreach.gateway.request.urgency import MIN_WAITS
+from mulleinreach.gateway.state.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
+from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.tests.desk import echo_path, fail
 from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Upstream
--- a/mulleinreach/gateway/known/tests/test_crash_book_work.py
+++ b/mulleinreach/gateway/state/tests/test_crash_tracker_cost.py
@@ -9,9 +9,9 @@
 import sys
 from collections.abc import Callable
 
-from mulleinreach.gateway.known.crashes import HOLD_S, CrashTracker, RunObservation
-from mulleinreach.gateway.known.tests.test_crashes import CULPRIT, TrackerHarness
-from mulleinreach.gateway.known.upstream_ends import RunOutcome
+from mulleinreach.gateway.state.crashes import HOLD_S, CrashTracker, RunObservation
+from mulleinreach.gateway.state.tests.test_crashes import CULPRIT, TrackerHarness
+from mulleinreach.gateway.state.upstream_ends import RunOutcome
 
 REQUESTS_EACH = 17
 FEW_UPSTREAMS, MANY_UPSTREAMS = 6, 48
--- a/mulleinreach/gateway/known/tests/test_crashes.py
+++ b/mulleinreach/gateway/state/tests/test_crashes.py
@@ -8,7 +8,8 @@
 import pytest
 
 from mulleinreach.common import Address
-from mulleinreach.gateway.known.crashes import (
+from mulleinreach.gateway.model import HeldContent
+from mulleinreach.gateway.state.crashes import (
     HOLD_S,
     MAX_BEGUN_REQUESTS,
     MAX_HELD_CONTENTS,
@@ -16,12 +17,11 @@
     REPORT_WINDOW_S,
     CrashTracker,
 )
-from mulleinreach.gateway.known.upstream_ends import (
+from mulleinreach.gateway.state.upstream_ends import (
     OBSERVATION_RETENTION_S,
     SAME_FAILURE_WINDOW_S,
     RunOutcome,
 )
-from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.upstream import Upstream
 
 CULPRIT, OTHER = 1, 2
--- a/mulleinreach/gateway/known/tests/test_facts_machine.py
+++ b/mulleinreach/gateway/state/tests/test_holds_and_rests.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from mulleinreach.gateway.known.crashes import HOLD_S
-from mulleinreach.gateway.known.notices import NoticeTracker
-from mulleinreach.gateway.known.tests.test_crashes import ManualClock, NullLog, TrackerHarness
-from mulleinreach.gateway.known.upstreams import UpstreamDirectory
 from mulleinreach.gateway.model import HeldContent
+from mulleinreach.gateway.state.crashes import HOLD_S
+from mulleinreach.gateway.state.notices import NoticeTracker
+from mulleinreach.gateway.state.tests.test_crashes import ManualClock, NullLog, TrackerHarness
+from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.upstream import Notice
 from mulleinreach.standins.gateway.hosts import make_upstream
 
--- a/mulleinreach/gateway/known/tests/test_told_changes.py
+++ b/mulleinreach/gateway/state/tests/test_list_change_log.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinreach.gateway.known.told_changes import MAX_LOGGED_IDS
+from mulleinreach.gateway.state.list_change_log import MAX_LOGGED_IDS
 from mulleinreach.gateway.tests.desk import echo_path
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
--- a/mulleinreach/gateway/known/tests/test_store_turns.py
+++ b/mulleinreach/gateway/state/tests/test_read_schedule.py
@@ -10,10 +10,10 @@
 
 from mulleinreach.common import EventLog, VirtualClock
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.known.store_calls import StoreCalls, StoreRole, pause_s
-from mulleinreach.gateway.known.turns import direct_read_schedule
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.ports import Unavailable
+from mulleinreach.gateway.state.read_schedule import direct_read_schedule
+from mulleinreach.gateway.state.store_calls import StoreCalls, StoreRole, pause_s
 from mulleinreach.standins.virtual import run_virtual
 
 MANY_NODES = 195
--- a/mulleinreach/gateway/known/tests/test_starts.py
+++ b/mulleinreach/gateway/state/tests/test_starts.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mulleinreach.common import Address
-from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
+from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.upstream import Upstream, incarnation_id
 
 
--- a/mulleinreach/gateway/known/upstream_following.py
+++ b/mulleinreach/gateway/state/upstream_follower.py
@@ -18,7 +18,10 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.known.reading import (
+from mulleinreach.gateway.ports import HistoryLost, Unavailable, UpstreamSource, UpstreamsRead
+from mulleinreach.gateway.revision import era_of, format_revision
+from mulleinreach.gateway.state.list_change_log import log_full_list, log_list_change
+from mulleinreach.gateway.state.store_reading import (
     CHECK_INTERVAL_S,
     PROBE_WAIT_S,
     READER_WAIT_S,
@@ -26,10 +29,7 @@
     SourceState,
     wait_for_coordinator,
 )
-from mulleinreach.gateway.known.told_changes import log_full_list, log_list_change
-from mulleinreach.gateway.known.upstreams import ListChange, UpstreamDirectory
-from mulleinreach.gateway.ports import HistoryLost, Unavailable, UpstreamSource, UpstreamsRead
-from mulleinreach.gateway.revision import era_of, format_revision
+from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
 from mulleinreach.gateway.upstream import Upstream, upstream_name
 
 # A pending long poll reports a change at most this long after the change.
--- a/mulleinreach/gateway/tests/test_imports.py
+++ b/mulleinreach/gateway/tests/test_imports.py
@@ -22,7 +22,7 @@
     "metrics",
     "listening",
     "explain",
-    "known",
+    "state",
     "coordination",
     "fleet",
     "request",
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.known.waking import MIN_LOGGED_SUSPENSION_S, SuspensionMonitor
+from mulleinreach.gateway.state.suspension import MIN_LOGGED_SUSPENSION_S, SuspensionMonitor
 from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.logged import event_fields, record_events
 from mulleinreach.gateway.tests.support import run_world
