--- a/benchmarks/crash_breakages.py
+++ b/benchmarks/crash_breakages.py
@@ -37,7 +37,7 @@
     Breakage(
         "BUDGET",
         "the coordinator tells what is held",
-        f"{GATEWAY}/knowledge.py",
+        f"{GATEWAY}/shared_state.py",
         "self._crashes.merge_held(totals.held or (), asked_at)",
         "pass",
         CRASHING,
@@ -53,7 +53,7 @@
     Breakage(
         "BUDGET",
         "a new coordinator hears of earlier sightings",
-        f"{GATEWAY}/coordination/own_report.py",
+        f"{GATEWAY}/coordination/node_reports.py",
         "includes_old=is_coordinator_new",
         "includes_old=False",
         f"{CRASHING} -k before_their_coordinator",
@@ -61,7 +61,7 @@
     Breakage(
         "BUDGET",
         "nodes that start read what is held",
-        f"{GATEWAY}/knowledge.py",
+        f"{GATEWAY}/shared_state.py",
         "self._crashes.merge_held(inheritance.held)",
         "pass",
         f"{CRASHING} -k survives_a_restart",
--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -221,7 +221,7 @@
     Breakage(
         "FAILBACK",
         "numbers change once the earlier ones count no more",
-        f"{GATEWAY}/coordination/numbering.py",
+        f"{GATEWAY}/coordination/node_numbers.py",
         "if is_same or now - self._changed_at < RENUMBERING_INTERVAL_S:",
         "if is_same:",
         f"{GATEWAY}/state/tests/test_cold.py -k come_and_go",
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -15,7 +15,7 @@
 from mulleinreach.gateway.coordination.messages import encode_node_report
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import NodeReport
-from mulleinreach.gateway.coordination.tests.limit_desk import LimitHarness
+from mulleinreach.gateway.coordination.tests.limit_harness import LimitHarness
 from mulleinreach.gateway.state.permits import PermitCount
 from mulleinreach.gateway.tests.limited import (
     max_allowed_requests,
--- a/mulleinreach/gateway/coordination/follower.py
+++ b/mulleinreach/gateway/coordination/follower.py
@@ -13,13 +13,13 @@
     REPORT_TIMEOUT_S,
     report_interval_s,
 )
+from mulleinreach.gateway.coordination.knowledge import Knowledge
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, Resignation
 from mulleinreach.gateway.coordination.messages import (
     decode_coordinator_report,
     encode_node_report,
 )
-from mulleinreach.gateway.coordination.own_report import OwnReports
-from mulleinreach.gateway.coordination.passed_on import Knowledge
+from mulleinreach.gateway.coordination.node_reports import OwnReports
 from mulleinreach.gateway.coordination.reports import (
     CoordinatorReport,
 )
--- a/mulleinreach/gateway/coordination/hub.py
+++ b/mulleinreach/gateway/coordination/hub.py
@@ -17,6 +17,7 @@
 
 from mulleinreach.common import Address, Clock, Network
 from mulleinreach.gateway.coordination.frames import FrameReader, FrameWriter, PeerError
+from mulleinreach.gateway.coordination.knowledge import Knowledge
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, Resignation, Successor
 from mulleinreach.gateway.coordination.messages import (
     decode_node_report,
@@ -24,8 +25,7 @@
     encode_list,
     encode_totals,
 )
-from mulleinreach.gateway.coordination.numbering import NodeNumbers
-from mulleinreach.gateway.coordination.passed_on import Knowledge
+from mulleinreach.gateway.coordination.node_numbers import NodeNumbers
 from mulleinreach.gateway.coordination.permit_allocation import PermitAllocator
 from mulleinreach.gateway.coordination.reports import CoordinatorReport, NodeReport
 from mulleinreach.gateway.coordination.totals import TotalsCompactor, sum_loads
--- a/mulleinreach/gateway/coordination/membership.py
+++ b/mulleinreach/gateway/coordination/membership.py
@@ -19,9 +19,9 @@
 from mulleinreach.gateway.coordination.follower import FollowEndReason, Follower
 from mulleinreach.gateway.coordination.frames import PeerError
 from mulleinreach.gateway.coordination.hub import MemberHub, RecentNode
+from mulleinreach.gateway.coordination.knowledge import Knowledge
 from mulleinreach.gateway.coordination.lease import CoordinatorLease, LeaseState, Resignation
-from mulleinreach.gateway.coordination.own_report import OwnReports
-from mulleinreach.gateway.coordination.passed_on import Knowledge
+from mulleinreach.gateway.coordination.node_reports import OwnReports
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
--- a/mulleinreach/gateway/coordination/own_report.py
+++ b/mulleinreach/gateway/coordination/node_reports.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from mulleinreach.common import Clock
+from mulleinreach.gateway.coordination.knowledge import Knowledge
 from mulleinreach.gateway.coordination.lease import CoordinatorLease
-from mulleinreach.gateway.coordination.passed_on import Knowledge
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
--- a/mulleinreach/gateway/coordination/term.py
+++ b/mulleinreach/gateway/coordination/term.py
@@ -15,6 +15,7 @@
 
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.hub import MemberHub
+from mulleinreach.gateway.coordination.knowledge import Knowledge
 from mulleinreach.gateway.coordination.lease import (
     RENEW_INTERVAL_S,
     CoordinatorLease,
@@ -22,8 +23,7 @@
     Resignation,
     Successor,
 )
-from mulleinreach.gateway.coordination.own_report import OwnReports
-from mulleinreach.gateway.coordination.passed_on import Knowledge
+from mulleinreach.gateway.coordination.node_reports import OwnReports
 
 # Delay until the next renewal after one whose outcome is unknown.
 UNKNOWN_OUTCOME_RETRY_S = 0.15
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from mulleinreach.gateway.coordination.permit_allocation import BURST_PERMITS, PermitAllocator
-from mulleinreach.gateway.coordination.tests.limit_desk import UPSTREAM, LimitHarness
+from mulleinreach.gateway.coordination.tests.limit_harness import UPSTREAM, LimitHarness
 from mulleinreach.gateway.state.limits import NamedLimit, permit_lifetime_s
 from mulleinreach.gateway.state.permits import PermitCount
 from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -20,7 +20,6 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.knowledge import SharedState
 from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RequestLimits
@@ -35,6 +34,7 @@
 from mulleinreach.gateway.request.sending import Sender
 from mulleinreach.gateway.request.starting import StartGate
 from mulleinreach.gateway.request.urgency import FirstWaitEstimator
+from mulleinreach.gateway.shared_state import SharedState
 from mulleinreach.gateway.state.cold import ColdRateLimit, ColdUpstreams
 from mulleinreach.gateway.state.configuration_follower import ConfigurationInForce
 from mulleinreach.gateway.state.content import format_digest
--- a/mulleinreach/gateway/state/tests/test_cold.py
+++ b/mulleinreach/gateway/state/tests/test_cold.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from mulleinreach.common import Address, Clock, EventLog
-from mulleinreach.gateway.coordination.numbering import NodeNumbers
+from mulleinreach.gateway.coordination.node_numbers import NodeNumbers
 from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.model import Configuration
 from mulleinreach.gateway.request.urgency import MIN_WAITS
--- a/mulleinreach/gateway/tests/test_imports.py
+++ b/mulleinreach/gateway/tests/test_imports.py
@@ -26,7 +26,7 @@
     "coordination",
     "fleet",
     "request",
-    "knowledge",
+    "shared_state",
     "node",
     "process",
 ]
