--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -101,7 +101,7 @@
     Breakage(
         "RECOVER",
         "a hall with a head that makes progress is not down",
-        f"{GATEWAY}/fleet/halls.py",
+        f"{GATEWAY}/fleet/hall_monitor.py",
         "if self.progressing or not self.heads or self.stalled < least:",
         "if not self.heads or self.stalled < least:",
         f"{GATEWAY}/fleet/tests/test_halls.py -k from_its_health",
@@ -109,7 +109,7 @@
     Breakage(
         "RECOVER",
         "a hall with a node that reports is not down",
-        f"{GATEWAY}/fleet/halls.py",
+        f"{GATEWAY}/fleet/hall_monitor.py",
         "return self.nodes_silent_s >= SILENT_NODES_S",
         "return True",
         f"{GATEWAY}/fleet/tests/test_halls.py -k from_its_health",
@@ -117,7 +117,7 @@
     Breakage(
         "RECOVER",
         "a coordinator that is cut off finds no hall down",
-        f"{GATEWAY}/fleet/halls.py",
+        f"{GATEWAY}/fleet/hall_monitor.py",
         "if has_third and health.has_failed()",
         "if health.has_failed()",
         f"{GATEWAY}/fleet/tests/test_halls.py -k third",
@@ -125,7 +125,7 @@
     Breakage(
         "RECOVER",
         "what a silent node told last shows no progress",
-        f"{GATEWAY}/fleet/halls.py",
+        f"{GATEWAY}/fleet/hall_monitor.py",
         "for node in nodes if node.silent_s < SILENT_NODES_S]",
         "for node in nodes]",
         f"{GATEWAY}/fleet/tests/test_halls.py -k gets_no_orders",
@@ -165,7 +165,7 @@
     Breakage(
         "RECOVER",
         "moves are forgotten with the term",
-        f"{GATEWAY}/fleet/moving.py",
+        f"{GATEWAY}/fleet/rebalancing.py",
         "        self._pending_moves.clear()\n        self._wanted_since.clear()",
         "        pass",
         f"{GATEWAY}/fleet/tests/test_allocation.py -k term_that_has_ended",
--- a/benchmarks/start_breakages.py
+++ b/benchmarks/start_breakages.py
@@ -6,7 +6,7 @@
 
 GATEWAY = "mulleinreach/gateway"
 STARTS = f"{GATEWAY}/state/tests/test_starts.py"
-HOSTS = f"{GATEWAY}/fleet/tests/test_starts_again.py"
+HOSTS = f"{GATEWAY}/fleet/tests/test_restarts.py"
 ROWS = "mulleinreach/platform/tests/test_rows.py"
 
 START_BREAKAGES = [
--- a/mulleinreach/gateway/fleet/controller.py
+++ b/mulleinreach/gateway/fleet/controller.py
@@ -19,12 +19,12 @@
 from mulleinreach.gateway.coordination.reports import (
     OpenHead,
 )
-from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
-from mulleinreach.gateway.fleet.halls import HallMonitor
+from mulleinreach.gateway.fleet.group_monitor import GroupMonitor
+from mulleinreach.gateway.fleet.hall_monitor import HallMonitor
+from mulleinreach.gateway.fleet.host_tasks import HostTasks
 from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.fleet.placement import Placement
-from mulleinreach.gateway.fleet.watch import GroupMonitor
 from mulleinreach.gateway.model import Service
 from mulleinreach.gateway.state.configuration_follower import ConfigurationInForce
 from mulleinreach.gateway.state.load import LoadReport
--- a/mulleinreach/gateway/fleet/watch.py
+++ b/mulleinreach/gateway/fleet/group_monitor.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
+from mulleinreach.gateway.fleet.host_tasks import HostTasks
 from mulleinreach.gateway.fleet.hosts import (
     MAX_NORMAL_PACE,
     HostRegistry,
--- a/mulleinreach/gateway/fleet/halls.py
+++ b/mulleinreach/gateway/fleet/hall_monitor.py
@@ -20,8 +20,8 @@
 from mulleinreach.common import Clock, EventLog
 from mulleinreach.gateway.coordination.hub import RecentNode
 from mulleinreach.gateway.coordination.totals import sum_loads
-from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator
+from mulleinreach.gateway.fleet.host_tasks import HostTasks
 from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.ports import Unavailable
 from mulleinreach.gateway.state.load import LoadReport
--- a/mulleinreach/gateway/fleet/placement.py
+++ b/mulleinreach/gateway/fleet/placement.py
@@ -6,11 +6,9 @@
 from collections.abc import Callable
 
 from mulleinreach.common import Clock, EventLog
-from mulleinreach.gateway.fleet.duties import HostTasks
 from mulleinreach.gateway.fleet.formation import GroupOperator, JoinOutcome, Outcome
+from mulleinreach.gateway.fleet.host_tasks import HostTasks
 from mulleinreach.gateway.fleet.hosts import HostRegistry, is_serving, is_standby
-from mulleinreach.gateway.fleet.loads import WeightLoadLimiter
-from mulleinreach.gateway.fleet.moving import HostRebalancer
 from mulleinreach.gateway.fleet.planner import (
     DomainView,
     FormGroup,
@@ -21,8 +19,10 @@
     plan_standbys,
     target_groups,
 )
+from mulleinreach.gateway.fleet.rebalancing import HostRebalancer
 from mulleinreach.gateway.fleet.staging import StageModel, plan_stagings
 from mulleinreach.gateway.fleet.usage import ModelUsage
+from mulleinreach.gateway.fleet.weight_loads import WeightLoadLimiter
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
 from mulleinreach.gateway.state.load import LoadReport
 from mulleinreach.gateway.state.upstreams import Group, collect_groups, open_heads
--- a/mulleinreach/gateway/fleet/tests/test_allocation.py
+++ b/mulleinreach/gateway/fleet/tests/test_allocation.py
@@ -15,13 +15,13 @@
     next_move,
 )
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.fleet.moving import (
+from mulleinreach.gateway.fleet.planner import DomainView, FreeHost, ServingGroup
+from mulleinreach.gateway.fleet.rebalancing import (
     MIN_WANTED_S,
     MOVE_COOLDOWN_S,
     MOVE_TIMEOUT_S,
     HostRebalancer,
 )
-from mulleinreach.gateway.fleet.planner import DomainView, FreeHost, ServingGroup
 from mulleinreach.gateway.model import EngineModel, EngineProfile, Service
 from mulleinreach.gateway.state.upstreams import UpstreamDirectory
 from mulleinreach.gateway.tests.support import run_world
--- a/mulleinreach/gateway/fleet/tests/test_halls.py
+++ b/mulleinreach/gateway/fleet/tests/test_halls.py
@@ -14,7 +14,7 @@
 from mulleinreach.gateway.coordination.reports import (
     NodeReport,
 )
-from mulleinreach.gateway.fleet.halls import assess_hall, failed_halls
+from mulleinreach.gateway.fleet.hall_monitor import assess_hall, failed_halls
 from mulleinreach.gateway.fleet.hosts import HostRegistry
 from mulleinreach.gateway.node import GatewayNode
 from mulleinreach.gateway.state.load import LoadReport
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -9,7 +9,7 @@
 
 from mulleinreach.common import VirtualClock
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.fleet.loads import RATE_WINDOW_S, WeightLoadLimiter
+from mulleinreach.gateway.fleet.weight_loads import RATE_WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import MAX_EXTRA_RESUMES
 from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
