--- a/benchmarks/gateway_breakages.py
+++ b/benchmarks/gateway_breakages.py
@@ -211,7 +211,7 @@
     Breakage(
         "GONE",
         "a handler ends when its caller leaves",
-        f"{GATEWAY}/listening.py",
+        f"{GATEWAY}/http_server.py",
         "handler_cancellation=True",
         "handler_cancellation=False",
         f"{GATEWAY}/request/tests/test_leaving_callers.py",
--- a/benchmarks/permits.py
+++ b/benchmarks/permits.py
@@ -17,7 +17,7 @@
 from mulleinreach.gateway.coordination.reports import NodeReport
 from mulleinreach.gateway.coordination.tests.limit_harness import LimitHarness
 from mulleinreach.gateway.state.permits import PermitCount
-from mulleinreach.gateway.tests.limited import (
+from mulleinreach.gateway.tests.limit_support import (
     max_allowed_requests,
     max_requests_in_window,
     requests_per_s,
--- a/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
+++ b/mulleinreach/gateway/coordination/tests/test_permit_allocation.py
@@ -12,7 +12,7 @@
 from mulleinreach.gateway.coordination.tests.limit_harness import UPSTREAM, LimitHarness
 from mulleinreach.gateway.state.limits import NamedLimit, permit_lifetime_s
 from mulleinreach.gateway.state.permits import PermitCount
-from mulleinreach.gateway.tests.limited import assert_limit_kept, requests_per_s
+from mulleinreach.gateway.tests.limit_support import assert_limit_kept, requests_per_s
 
 ROUND_S = 0.1
 # Share of a limit that has to be used; lower for low limits, where expired permits weigh more.
--- a/mulleinreach/gateway/node.py
+++ b/mulleinreach/gateway/node.py
@@ -20,7 +20,7 @@
 from mulleinreach.gateway.fleet.controller import FleetController
 from mulleinreach.gateway.fleet.formation import GroupOperator
 from mulleinreach.gateway.fleet.hosts import HostRegistry
-from mulleinreach.gateway.listening import IDLE_TIMEOUT_S, serve
+from mulleinreach.gateway.http_server import IDLE_TIMEOUT_S, serve
 from mulleinreach.gateway.metrics import GatewayMetrics
 from mulleinreach.gateway.model import RequestLimits
 from mulleinreach.gateway.ports import Ports
--- a/mulleinreach/gateway/request/tests/test_admission.py
+++ b/mulleinreach/gateway/request/tests/test_admission.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from mulleinreach.gateway.tests.desk import (
+from mulleinreach.gateway.tests.plain_upstreams import (
     NO_HOSTS,
     echo_path,
     start_plain_upstreams,
--- a/mulleinreach/gateway/request/tests/test_bounds.py
+++ b/mulleinreach/gateway/request/tests/test_bounds.py
@@ -12,7 +12,7 @@
 from mulleinreach.gateway.fleet.weight_loads import RATE_WINDOW_S, WeightLoadLimiter
 from mulleinreach.gateway.request.budget import WindowedRetryBudget
 from mulleinreach.gateway.request.sending import MAX_EXTRA_RESUMES
-from mulleinreach.gateway.tests.noticed import large_heads, request_repeatedly
+from mulleinreach.gateway.tests.notice_support import large_heads, request_repeatedly
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import DEADLINE_MS, REQUEST_ID, SIGNATURE
 from mulleinreach.standins.gateway.world import PROFILE, make_configuration
--- a/mulleinreach/gateway/request/tests/test_callers.py
+++ b/mulleinreach/gateway/request/tests/test_callers.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mulleinreach.gateway.model import RequestLimits
-from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST
 from mulleinreach.standins.gateway.world import make_configuration
--- a/mulleinreach/gateway/request/tests/test_crashing_requests.py
+++ b/mulleinreach/gateway/request/tests/test_crashing_requests.py
@@ -11,7 +11,7 @@
 from mulleinreach.gateway.model import HeldContent
 from mulleinreach.gateway.request.urgency import Lateness
 from mulleinreach.gateway.state.crashes import HOLD_S
-from mulleinreach.gateway.tests.desk import echo_path, reset_connection
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, reset_connection
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import GatewayWorld
 
--- a/mulleinreach/gateway/request/tests/test_keys_in_outages.py
+++ b/mulleinreach/gateway/request/tests/test_keys_in_outages.py
@@ -8,7 +8,7 @@
 
 from mulleinreach.gateway.coordination import membership
 from mulleinreach.gateway.deployment import DeploymentBounds
-from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import make_configuration
--- a/mulleinreach/gateway/request/tests/test_leaving_callers.py
+++ b/mulleinreach/gateway/request/tests/test_leaving_callers.py
@@ -7,9 +7,9 @@
 import pytest
 
 from mulleinreach.gateway.request.urgency import MIN_WAITS
-from mulleinreach.gateway.tests.desk import NO_HOSTS, start_plain_upstreams
-from mulleinreach.gateway.tests.limited import limit_headers
-from mulleinreach.gateway.tests.noticed import ScriptedUpstream
+from mulleinreach.gateway.tests.limit_support import limit_headers
+from mulleinreach.gateway.tests.notice_support import ScriptedUpstream
+from mulleinreach.gateway.tests.plain_upstreams import NO_HOSTS, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.world import API_KEY, CALLER_HOST, LARGE, MODEL_SERVICE
 
--- a/mulleinreach/gateway/request/tests/test_limits_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_limits_told_apart.py
@@ -15,14 +15,18 @@
 )
 from mulleinreach.gateway.state.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.state.upstreams import UpstreamDirectory
-from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
-from mulleinreach.gateway.tests.limited import (
+from mulleinreach.gateway.tests.limit_support import (
     SYSTEM_PROPAGATION_S,
     assert_limit_kept,
     limit_headers,
     request_all_nodes,
 )
-from mulleinreach.gateway.tests.noticed import ScriptedUpstream, large_heads, request_repeatedly
+from mulleinreach.gateway.tests.notice_support import (
+    ScriptedUpstream,
+    large_heads,
+    request_repeatedly,
+)
+from mulleinreach.gateway.tests.plain_upstreams import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import incarnation_id
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID
--- a/mulleinreach/gateway/request/tests/test_notices_told_apart.py
+++ b/mulleinreach/gateway/request/tests/test_notices_told_apart.py
@@ -10,9 +10,8 @@
 from mulleinreach.gateway.state.notices import NoticeTracker
 from mulleinreach.gateway.state.tests.test_crashes import ManualClock, NullLog
 from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
-from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, start_plain_upstreams
-from mulleinreach.gateway.tests.logged import event_fields, record_events
-from mulleinreach.gateway.tests.noticed import (
+from mulleinreach.gateway.tests.event_recording import event_fields, record_events
+from mulleinreach.gateway.tests.notice_support import (
     LEAVING_HEADERS,
     REST_HEADERS,
     REST_S,
@@ -20,6 +19,7 @@
     large_heads,
     request_repeatedly,
 )
+from mulleinreach.gateway.tests.plain_upstreams import NO_HOSTS, echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import Notice, UpstreamState, incarnation_id
 from mulleinreach.standins.gateway.dialect import REFUSED, REQUEST_ID, RETRY_AFTER
--- a/mulleinreach/gateway/request/tests/test_relay.py
+++ b/mulleinreach/gateway/request/tests/test_relay.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import (
+from mulleinreach.gateway.tests.plain_upstreams import (
     NO_HOSTS,
     answer_unsigned,
     answer_wrong_request,
--- a/mulleinreach/gateway/request/tests/test_request_lines.py
+++ b/mulleinreach/gateway/request/tests/test_request_lines.py
@@ -8,9 +8,9 @@
 from aiohttp import web
 
 from mulleinreach.gateway.request.urgency import MIN_WAITS
-from mulleinreach.gateway.tests.desk import NO_HOSTS, start_plain_upstreams
-from mulleinreach.gateway.tests.logged import event_fields, record_events
-from mulleinreach.gateway.tests.noticed import ScriptedUpstream, request_repeatedly
+from mulleinreach.gateway.tests.event_recording import event_fields, record_events
+from mulleinreach.gateway.tests.notice_support import ScriptedUpstream, request_repeatedly
+from mulleinreach.gateway.tests.plain_upstreams import NO_HOSTS, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import LEAVING, LIMIT, REFUSED, RETRY_AFTER
 
--- a/mulleinreach/gateway/request/tests/test_shortage.py
+++ b/mulleinreach/gateway/request/tests/test_shortage.py
@@ -9,7 +9,7 @@
 from mulleinreach.common.log import format_value
 from mulleinreach.gateway.deployment import DeploymentBounds
 from mulleinreach.gateway.explain import explain_request, parse_line
-from mulleinreach.gateway.tests.desk import echo_path, refuse
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, refuse
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
 
--- a/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
+++ b/mulleinreach/gateway/request/tests/test_sound_requests_kept.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import echo_path
+from mulleinreach.gateway.tests.plain_upstreams import echo_path
 from mulleinreach.gateway.tests.support import run_world
 
 FATAL_BODY = b"999"
--- a/mulleinreach/gateway/request/tests/test_upstream_limits.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_limits.py
@@ -11,15 +11,24 @@
 
 import pytest
 
-from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, fail, start_plain_upstreams
-from mulleinreach.gateway.tests.limited import (
+from mulleinreach.gateway.tests.limit_support import (
     SYSTEM_PROPAGATION_S,
     assert_limit_kept,
     limit_headers,
     request_all_nodes,
     requests_per_s,
 )
-from mulleinreach.gateway.tests.noticed import ScriptedUpstream, large_heads, request_repeatedly
+from mulleinreach.gateway.tests.notice_support import (
+    ScriptedUpstream,
+    large_heads,
+    request_repeatedly,
+)
+from mulleinreach.gateway.tests.plain_upstreams import (
+    NO_HOSTS,
+    echo_path,
+    fail,
+    start_plain_upstreams,
+)
 from mulleinreach.gateway.tests.support import run_world
 
 EIGHT_NODES = {**NO_HOSTS, "nodes": 8}
--- a/mulleinreach/gateway/request/tests/test_upstream_notices.py
+++ b/mulleinreach/gateway/request/tests/test_upstream_notices.py
@@ -12,9 +12,8 @@
 from aiohttp import web
 
 from mulleinreach.gateway.state.upstreams import Group
-from mulleinreach.gateway.tests.desk import NO_HOSTS, echo_path, fail, start_plain_upstreams
-from mulleinreach.gateway.tests.logged import event_fields, record_events
-from mulleinreach.gateway.tests.noticed import (
+from mulleinreach.gateway.tests.event_recording import event_fields, record_events
+from mulleinreach.gateway.tests.notice_support import (
     LEAVING_HEADERS,
     REST_HEADERS,
     REST_S,
@@ -23,6 +22,12 @@
     large_heads,
     request_repeatedly,
 )
+from mulleinreach.gateway.tests.plain_upstreams import (
+    NO_HOSTS,
+    echo_path,
+    fail,
+    start_plain_upstreams,
+)
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.dialect import REQUEST_ID, SIGNATURE
 from mulleinreach.standins.gateway.store import UPSTREAMS
--- a/mulleinreach/gateway/state/tests/test_cold.py
+++ b/mulleinreach/gateway/state/tests/test_cold.py
@@ -18,7 +18,7 @@
 from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.state.cold import NUMBER_VALID_S, RATE_WINDOW_S, ColdRateLimit, quota
 from mulleinreach.gateway.state.upstreams import ListChange, UpstreamDirectory
-from mulleinreach.gateway.tests.desk import echo_path, fail
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, fail
 from mulleinreach.gateway.tests.support import block_store_access, run_world
 from mulleinreach.gateway.upstream import Upstream
 from mulleinreach.standins.gateway.store import CONFIGURATION, NEWEST, UPSTREAMS
--- a/mulleinreach/gateway/state/tests/test_configuration_propagation.py
+++ b/mulleinreach/gateway/state/tests/test_configuration_propagation.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import return_unavailable, run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import API_KEY, make_configuration
--- a/mulleinreach/gateway/state/tests/test_evacuations.py
+++ b/mulleinreach/gateway/state/tests/test_evacuations.py
@@ -11,7 +11,7 @@
 from mulleinreach.gateway.ports import EvacuationRow
 from mulleinreach.gateway.request.urgency import MIN_WAITS
 from mulleinreach.gateway.state.evacuations import NEVER, RAMP_DOWN_FRACTION, Evacuations
-from mulleinreach.gateway.tests.desk import echo_path, fail, refuse
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, fail, refuse
 from mulleinreach.gateway.tests.support import block_store_access, restore_store_access, run_world
 from mulleinreach.gateway.tests.traffic import run_traffic
 from mulleinreach.standins.gateway.world import SMALL
--- a/mulleinreach/gateway/state/tests/test_list_change_log.py
+++ b/mulleinreach/gateway/state/tests/test_list_change_log.py
@@ -8,8 +8,8 @@
 import pytest
 
 from mulleinreach.gateway.state.list_change_log import MAX_LOGGED_IDS
-from mulleinreach.gateway.tests.desk import echo_path
-from mulleinreach.gateway.tests.logged import event_fields, record_events
+from mulleinreach.gateway.tests.event_recording import event_fields, record_events
+from mulleinreach.gateway.tests.plain_upstreams import echo_path
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.standins.gateway.store import UPSTREAMS
--- a/mulleinreach/gateway/state/tests/test_restored_store.py
+++ b/mulleinreach/gateway/state/tests/test_restored_store.py
@@ -11,7 +11,7 @@
 import pytest
 
 from mulleinreach.common import Address
-from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.gateway.upstream import UpstreamState
 from mulleinreach.standins.gateway.hosts import make_upstream
--- a/mulleinreach/gateway/tests/noticed.py
+++ b/mulleinreach/gateway/tests/notice_support.py
@@ -7,7 +7,7 @@
 
 from aiohttp import web
 
-from mulleinreach.gateway.tests.desk import echo_path
+from mulleinreach.gateway.tests.plain_upstreams import echo_path
 from mulleinreach.standins.gateway.dialect import LEAVING, REFUSED, REQUEST_ID, RETRY_AFTER
 from mulleinreach.standins.gateway.hosts import HostStandIn
 from mulleinreach.standins.gateway.world import LARGE, MODEL_SERVICE, GatewayWorld
--- a/mulleinreach/gateway/tests/test_imports.py
+++ b/mulleinreach/gateway/tests/test_imports.py
@@ -20,7 +20,7 @@
     "deployment",
     "ports",
     "metrics",
-    "listening",
+    "http_server",
     "explain",
     "state",
     "coordination",
--- a/mulleinreach/gateway/tests/test_stopping.py
+++ b/mulleinreach/gateway/tests/test_stopping.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-from mulleinreach.gateway.tests.desk import (
+from mulleinreach.gateway.tests.plain_upstreams import (
     NO_HOSTS,
     echo_path,
     start_plain_upstreams,
--- a/mulleinreach/gateway/tests/test_suspension.py
+++ b/mulleinreach/gateway/tests/test_suspension.py
@@ -7,8 +7,8 @@
 import pytest
 
 from mulleinreach.gateway.state.suspension import MIN_LOGGED_SUSPENSION_S, SuspensionMonitor
-from mulleinreach.gateway.tests.desk import echo_path, start_plain_upstreams
-from mulleinreach.gateway.tests.logged import event_fields, record_events
+from mulleinreach.gateway.tests.event_recording import event_fields, record_events
+from mulleinreach.gateway.tests.plain_upstreams import echo_path, start_plain_upstreams
 from mulleinreach.gateway.tests.support import run_world
 from mulleinreach.standins.gateway.store import CONFIGURATION
 from mulleinreach.standins.gateway.world import make_configuration
--- a/mulleinreach/gateway/tests/traffic.py
+++ b/mulleinreach/gateway/tests/traffic.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from mulleinreach.gateway.tests.desk import echo_path
+from mulleinreach.gateway.tests.plain_upstreams import echo_path
 from mulleinreach.gateway.tests.support import run_world
 
 THREE_HALLS = {"halls": 3, "nodes": 3, "domains": 3}
