--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from mulleinreach.groups.formation import allowed_hosts
 from mulleinreach.groups.model import GroupState
+from mulleinreach.groups.placement import allowed_hosts
 from mulleinreach.groups.planner import Change, FleetPlanner, _next_replica_name, _Round
 from mulleinreach.groups.repair import LoadTimeModel, RepairKind, RepairOption
 from mulleinreach.groups.view import FleetView
--- a/benchmarks/breakages.py
+++ b/benchmarks/breakages.py
@@ -20,7 +20,7 @@
     Breakage(
         "1",
         "evidence of wholeness ages out",
-        "mulleinreach/groups/watch.py",
+        "mulleinreach/groups/polling.py",
         "return self._clock.now() - status.confirmed_at < self._max_age_s",
         "return status.confirmed_at > NEVER",
         "tests/test_promise_1_wholeness.py",
@@ -28,7 +28,7 @@
     Breakage(
         "1",
         "a member must be ready in the group's epoch",
-        "mulleinreach/groups/watch.py",
+        "mulleinreach/groups/polling.py",
         'return status.replica == replica and status.epoch == epoch and status.state == "ready"',
         "return True",
         "tests/test_promise_1_wholeness.py",
@@ -44,7 +44,7 @@
     Breakage(
         "2",
         "a host with unresolved orders stays out",
-        "mulleinreach/groups/ledger.py",
+        "mulleinreach/groups/order_tracker.py",
         "return replace(record, unresolved=record.unresolved - answered)",
         "return replace(record, unresolved=0)",
         "tests/test_promise_2_one_replica_a_host.py -k late_order_to",
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from mulleinreach.common import Address, rendezvous_rank
-from mulleinreach.groups.watch import ReplicaStatus
+from mulleinreach.groups.polling import ReplicaStatus
 from mulleinreach.routing import Candidate, Router
 from mulleinreach.routing.replicas import ReplicaLoad
 from mulleinreach.standins.engine_core import (
--- a/mulleinreach/evidence.py
+++ b/mulleinreach/evidence.py
@@ -16,7 +16,7 @@
 
 from mulleinreach.common import Address
 from mulleinreach.groups.model import GroupRecord, GroupState
-from mulleinreach.groups.watch import watchers_of
+from mulleinreach.groups.polling import watchers_of
 from mulleinreach.intents import ConfigDocument
 from mulleinreach.roster.messages import ConfigPush, HostReport, Ping, Pong, Withdrawal
 from mulleinreach.stores import HostKind, HostState
--- a/mulleinreach/groups/controller.py
+++ b/mulleinreach/groups/controller.py
@@ -15,12 +15,6 @@
 
 from mulleinreach.audit import AuditTrail
 from mulleinreach.common import Address, Clock, EventLog, TaskGroup
-from mulleinreach.groups.ledger import (
-    OrderTracker,
-    has_process_ended,
-    is_latest_order_done,
-    is_stopped,
-)
 from mulleinreach.groups.model import (
     GROUPS_PREFIX,
     HOSTS_PREFIX,
@@ -28,6 +22,12 @@
     HostRecord,
     HostUse,
 )
+from mulleinreach.groups.order_tracker import (
+    OrderTracker,
+    has_process_ended,
+    is_latest_order_done,
+    is_stopped,
+)
 from mulleinreach.groups.planner import Change, Decision, FleetPlanner
 from mulleinreach.groups.view import FleetView, HostView
 from mulleinreach.intents import ConfigDocument
--- a/mulleinreach/groups/planner.py
+++ b/mulleinreach/groups/planner.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from mulleinreach.groups.formation import Placement, Shortage, place_replica
 from mulleinreach.groups.model import GroupRecord, GroupState, HostRecord, HostUse
+from mulleinreach.groups.placement import Placement, Shortage, place_replica
 from mulleinreach.groups.repair import (
     LoadTimeModel,
     RepairKind,
--- a/mulleinreach/groups/repair.py
+++ b/mulleinreach/groups/repair.py
@@ -14,8 +14,8 @@
 import math
 from dataclasses import dataclass
 
-from mulleinreach.groups.formation import allowed_hosts, pick_hosts
 from mulleinreach.groups.model import GroupRecord, HostUse
+from mulleinreach.groups.placement import allowed_hosts, pick_hosts
 from mulleinreach.groups.view import FleetView, HostView
 from mulleinreach.intents import MeasureWeights, ServiceIntent
 
--- a/mulleinreach/groups/tests/test_repair.py
+++ b/mulleinreach/groups/tests/test_repair.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from mulleinreach.groups.formation import Placement, Shortage, place_replica
 from mulleinreach.groups.model import GroupRecord, GroupState, HostRecord, HostUse
+from mulleinreach.groups.placement import Placement, Shortage, place_replica
 from mulleinreach.groups.planner import FleetPlanner
 from mulleinreach.groups.repair import LoadTimeModel, RepairKind, RepairPlanner
 from mulleinreach.groups.view import FleetView, HostView
--- a/mulleinreach/intents/preview.py
+++ b/mulleinreach/intents/preview.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from mulleinreach.common import Code, MulleinreachError
-from mulleinreach.groups.formation import Shortage, allowed_hosts, place_replica
+from mulleinreach.groups.placement import Shortage, allowed_hosts, place_replica
 from mulleinreach.groups.planner import FleetPlanner
 from mulleinreach.groups.view import FleetView
 from mulleinreach.intents.document import ConfigDocument
--- a/mulleinreach/node.py
+++ b/mulleinreach/node.py
@@ -18,8 +18,8 @@
 from mulleinreach.groups.controller import DUTY, GroupController
 from mulleinreach.groups.model import GroupState
 from mulleinreach.groups.planner import FleetPlanner
+from mulleinreach.groups.polling import HostPoller, ReplicaHealthTracker
 from mulleinreach.groups.repair import LoadTimeModel
-from mulleinreach.groups.watch import HostPoller, ReplicaHealthTracker
 from mulleinreach.housekeeping import Housekeeping
 from mulleinreach.intents import ConfigInForce
 from mulleinreach.intents.plan import PlanStore
--- a/mulleinreach/routing/replicas.py
+++ b/mulleinreach/routing/replicas.py
@@ -7,7 +7,7 @@
 
 from mulleinreach.common import Address, Clock
 from mulleinreach.groups.model import GROUPS_PREFIX, GroupRecord, GroupState
-from mulleinreach.groups.watch import ReplicaHealthTracker, ReplicaStatus
+from mulleinreach.groups.polling import ReplicaHealthTracker, ReplicaStatus
 from mulleinreach.stores import HostDirectory, TableCache
 
 MIN_EJECTION_S = 0.5
