--- a/benchmarks/hall_breakages.py
+++ b/benchmarks/hall_breakages.py
@@ -1,4 +1,4 @@
-"""The gateway's guards around halls, cold hosts, homes and too few places.
+"""The gateway's guards around halls, cold hosts, allowed regions and too few places.
 
 ``promise`` names the users' rule, as ``docs/RULES.md`` lists it.
 """
@@ -254,14 +254,15 @@
         "HOME",
         "upstreams in other regions get nothing",
         f"{GATEWAY}/state/eligibility.py",
-        "        if (\n            constraints.homes is not None\n"
-        "            and self._regions.get(upstream.hall) not in constraints.homes\n        ):",
+        "        if (\n            constraints.allowed_regions is not None\n"
+        "            and self._regions.get(upstream.hall) not in constraints.allowed_regions\n"
+        "        ):",
         "        if False:",
         f"{GATEWAY}/state/tests/test_homes.py",
     ),
     Breakage(
         "HOME",
-        "the homes of a route and of an organisation both bind",
+        "the allowed regions of a route and of an organisation both bind",
         f"{GATEWAY}/request/admission.py",
         "return first & second",
         "return first",
--- a/mulleinreach/gateway/coordination/knowledge.py
+++ b/mulleinreach/gateway/coordination/knowledge.py
@@ -62,7 +62,7 @@
     def merge_sightings(self, sightings: list[RunObservation]) -> None:
         """Merge another node's observations of upstreams that ended under requests."""
 
-    def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
+    def unreported_limits(self, includes_published: bool) -> tuple[NamedLimit, ...]:
         """Return rate limits of upstreams that the coordinator hasn't reported."""
 
     def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
--- a/mulleinreach/gateway/coordination/node_reports.py
+++ b/mulleinreach/gateway/coordination/node_reports.py
@@ -77,7 +77,7 @@
             self._knowledge.configuration_version(),
             hall=self._identity.hall,
             sightings=self._knowledge.sightings(includes_old=is_coordinator_new),
-            limits=self._knowledge.unreported_limits(includes_told=is_coordinator_new),
+            limits=self._knowledge.unreported_limits(includes_published=is_coordinator_new),
             wanted=self._knowledge.wanted_permits(),
         )
 
--- a/mulleinreach/gateway/request/sending.py
+++ b/mulleinreach/gateway/request/sending.py
@@ -37,9 +37,9 @@
 from mulleinreach.gateway.upstream import Upstream
 
 MIN_REMAINING_S = 0.005
-# Interval of the check whether an upstream still sends, while a request waits for the head.
+# How often a request that waits for response headers checks whether its upstream is silent.
 SILENCE_CHECK_INTERVAL_S = 0.4
-# Time without any data from an upstream, after which streams without a head are moved from it.
+# After this time without data from an upstream, streams without response headers leave it.
 SILENCE_LIMIT_S = 1.3
 # Sends of a stream beyond the route's limit, one for each replica lost in mid-stream.
 MAX_EXTRA_RESUMES = 2
--- a/mulleinreach/gateway/shared_state.py
+++ b/mulleinreach/gateway/shared_state.py
@@ -142,15 +142,15 @@
         """Merge another node's observations of requests during which upstreams ended."""
         self._crashes.merge_observations(sightings)
 
-    def unreported_limits(self, includes_told: bool) -> tuple[NamedLimit, ...]:
+    def unreported_limits(self, includes_published: bool) -> tuple[NamedLimit, ...]:
         """Return the upstream limits that the coordinator doesn't know yet.
 
         Parameters
         ==========
 
-        includes_told : whether to include limits that were already reported.
+        includes_published : whether to include limits that the coordinator has published.
         """
-        return self._permits.limits.unpublished(includes_told)
+        return self._permits.limits.unpublished(includes_published)
 
     def merge_limits(self, named: tuple[NamedLimit, ...]) -> None:
         """Merge the upstream limits that another node reports."""
--- a/mulleinreach/gateway/state/eligibility.py
+++ b/mulleinreach/gateway/state/eligibility.py
@@ -44,11 +44,11 @@
     ==========
 
     service : the service that must serve it.
-    homes : the regions whose upstreams may serve it; ``None`` for any region.
+    allowed_regions : the regions whose upstreams may serve it; ``None`` for any region.
     """
 
     service: Service
-    homes: frozenset[str] | None = None
+    allowed_regions: frozenset[str] | None = None
 
 
 class Eligibility:
@@ -152,8 +152,8 @@
         self, upstream: Upstream, constraints: RequestConstraints, withheld: frozenset[str]
     ) -> Exclusion | None:
         if (
-            constraints.homes is not None
-            and self._regions.get(upstream.hall) not in constraints.homes
+            constraints.allowed_regions is not None
+            and self._regions.get(upstream.hall) not in constraints.allowed_regions
         ):
             return Exclusion.ABROAD
         if upstream.id in withheld:
